--- a/src/coordination/routing/DemandSplit.cpp
+++ b/src/coordination/routing/DemandSplit.cpp
@@ -8,17 +8,19 @@
 
 namespace {
 
-constexpr double memorySeconds = 60; // of the average; a huge prompt alone is tens of seconds
-constexpr double mostUsed = 0.98;    // beyond it a part counts as overloaded
-constexpr double leastDemand = 0.05; // busy engines; a kind that was not seen yet may come
+constexpr double averagingSeconds = 60; // time constant; a single huge prompt takes tens of seconds
+constexpr double maxUtilization = 0.98; // above it a group of engines counts as overloaded
+constexpr double minDemand = 0.05; // busy engines; a kind without requests so far may still arrive
 constexpr double overloadPenalty = 1'000;
 
-double crowding(double demand, double engines)
+// Expected number of requests in an M/M/1 queue; above maxUtilization a penalty that grows with
+// demand.
+double queueLength(double demand, double engines)
 {
-    const double used = demand / engines;
-    if (used > mostUsed)
-        return overloadPenalty * used;
-    return used / (1 - used);
+    const double utilization = demand / engines;
+    if (utilization > maxUtilization)
+        return overloadPenalty * utilization;
+    return utilization / (1 - utilization);
 }
 
 } // namespace
@@ -38,29 +40,30 @@
     }
     const double elapsed = std::chrono::duration<double>(now - this->updated).count();
     if (elapsed > 0) {
-        const double kept = std::exp(-elapsed / memorySeconds);
+        const double kept = std::exp(-elapsed / averagingSeconds);
         this->shortDemand *= kept;
         this->longDemand *= kept;
         this->updated = now;
     }
-    (isShort ? this->shortDemand : this->longDemand) += prefillSeconds / memorySeconds;
+    (isShort ? this->shortDemand : this->longDemand) += prefillSeconds / averagingSeconds;
 }
 
 std::size_t DemandSplit::longEngines(std::size_t count) const
 {
     if (count < 2)
         return count;
-    // The average starts at nothing: what is missing of it after a start is made up for.
+    // The average starts at zero; dividing by the share reached so far corrects for that.
     const double age = std::chrono::duration<double>(this->updated - this->started).count();
-    const double grown = std::max(1 - std::exp(-age / memorySeconds), 1 / memorySeconds);
-    const double shorts = std::max(this->shortDemand / grown, leastDemand);
-    const double longs = std::max(this->longDemand / grown, leastDemand);
+    const double reachedShare =
+            std::max(1 - std::exp(-age / averagingSeconds), 1 / averagingSeconds);
+    const double shortLoad = std::max(this->shortDemand / reachedShare, minDemand);
+    const double longLoad = std::max(this->longDemand / reachedShare, minDemand);
     std::size_t best = count / 2;
     double bestLoss = std::numeric_limits<double>::max();
     for (std::size_t engines = 1; engines < count; ++engines) {
         const double shortLoss =
-                crowding(shorts, double(count - engines)) * (this->slowdownBesidePrefill - 1);
-        const double longLoss = crowding(longs, double(engines)) / std::sqrt(double(engines));
+                queueLength(shortLoad, double(count - engines)) * (this->slowdownBesidePrefill - 1);
+        const double longLoss = queueLength(longLoad, double(engines)) / std::sqrt(double(engines));
         const double loss = this->shortWeight * shortLoss + this->longWeight * longLoss;
         if (loss < bestLoss) {
             best = engines;
--- a/src/coordination/routing/DemandSplit.h
+++ b/src/coordination/routing/DemandSplit.h
@@ -1,8 +1,8 @@
-// How many engines short prompts get for themselves, from the demand of both kinds.
+// Split of the engines between short and longer prompts, according to the demand of both kinds.
 //
-// A decoding request slows down several times while its engine prefills for another one, and a
-// placement that looks at present work only can't see the short requests that will come later. So
-// engines are split by a rank that all entries share, and the split follows demand.
+// A decoding request becomes several times slower while its engine prefills for another one, and a
+// placement that considers only present work can't foresee the short requests that arrive later.
+// Engines are therefore split by a rank that all entries share, and the split follows demand.
 #pragma once
 
 #include "coordination/routing/PolicySettings.h"
@@ -12,23 +12,25 @@
 
 namespace lavenderthread::coordination::routing {
 
+// Averages the prefill demand of short and longer prompts and computes the split from it.
 class DemandSplit
 {
 public:
     explicit DemandSplit(const PolicySettings &settings);
 
+    // Adds the prefill of one placed prompt to the average of its kind.
     void note(bool isShort, double prefillSeconds, state::Instant now);
 
-    // Of `count` engines, how many take longer prompts: between 1 and count - 1, and all for a
-    // single engine. The least weighted sum of what both kinds are expected to lose.
+    // Returns how many of `count` engines take longer prompts: between 1 and count - 1, or `count`
+    // itself below 2. Minimizes the weighted sum of the expected losses of both kinds.
     std::size_t longEngines(std::size_t count) const;
 
 private:
     double shortWeight;
     double longWeight;
     double slowdownBesidePrefill;
-    double shortDemand = 0; // busy engines, exponentially averaged
-    double longDemand = 0;
+    double shortDemand = 0; // as busy engines, exponentially averaged
+    double longDemand = 0;  // the same
     state::Instant updated{};
     state::Instant started{};
     bool seen = false;
--- a/src/coordination/routing/Fleet.cpp
+++ b/src/coordination/routing/Fleet.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr double ownPartFullSeconds = 0.15; // ahead of a short prompt; then it looks elsewhere too
-constexpr state::Duration pauseMemory = std::chrono::seconds(60);
-constexpr std::size_t sampleTries = 4; // draws per wanted sample before the whole set is taken
+constexpr double ownGroupMaxWaitSeconds = 0.15; // wait at which short prompts may use all engines
+constexpr state::Duration pauseLifetime = std::chrono::seconds(60);
+constexpr std::size_t sampleTries = 4; // draws per wanted sample before all engines are considered
 
 std::uint64_t scoreOf(const std::string &entry, const state::EndpointId &engine)
 {
@@ -80,7 +80,7 @@
         if (scored.size() > this->policy.watchedEngines)
             scored.resize(this->policy.watchedEngines);
         set.ids.clear();
-        // All entries rank engines alike, so that their long work meets on the same engines.
+        // All entries rank engines alike, so that they send long prompts to the same engines.
         std::vector<std::uint64_t> order;
         for (const auto &[score, id] : scored) {
             set.ids.push_back(id);
@@ -88,9 +88,9 @@
             set.prefillRate += 1 / set.views.back()->prefillSeconds(1);
             order.push_back(scoreOf(model.value(), id));
         }
-        for (const std::uint64_t mine : order) {
-            set.rank.push_back(std::uint32_t(
-                    std::ranges::count_if(order, [mine](auto other) { return other < mine; })));
+        for (const std::uint64_t engineScore : order) {
+            set.rank.push_back(std::uint32_t(std::ranges::count_if(
+                    order, [engineScore](auto other) { return other < engineScore; })));
         }
         set.ranked.resize(set.views.size());
         for (std::size_t index = 0; index < set.views.size(); ++index)
@@ -135,40 +135,41 @@
     if (found == this->byModel.end())
         return std::nullopt;
     const Watched &set = found->second;
-    // Before anything is asked of them: work whose end was never told leaves them only so.
+    // Must come before any query: it is what removes work whose end was never reported.
     for (EngineView *view : set.views)
         view->advance(now);
-    std::vector<std::size_t> able = this->candidates(set, query);
-    if (able.empty())
+    std::vector<std::size_t> eligible = this->candidates(set, query);
+    if (eligible.empty())
         return std::nullopt;
-    if (const auto index = this->baselineChoice(set, query, able))
+    if (const auto index = this->baselineChoice(set, query, eligible))
         return this->best(set, query, {*index});
     if (!this->policy.splitEngines || query.only)
-        return this->best(set, query, able);
+        return this->best(set, query, eligible);
 
     const bool isShort = query.prompt.promptTokens < this->policy.shortPromptTokens;
-    const std::size_t bound = this->split.longEngines(set.views.size());
-    const auto elsewhere = std::stable_partition(able.begin(), able.end(), [&](std::size_t index) {
-        return isShort != (set.rank[index] < bound);
-    });
-    const std::vector<std::size_t> own(able.begin(), elsewhere);
-    std::optional<Choice> choice = this->best(set, query, own);
-    if (isShort && (!choice || choice->prediction.aheadSeconds > ownPartFullSeconds))
-        return this->best(set, query, able);
-    // Longer prompts keep out of the short ones' part unless their own has lost all its engines.
-    if (!choice && own.empty() && query.ignoreQueueLimit)
-        return this->best(set, query, able);
+    const std::size_t longCount = this->split.longEngines(set.views.size());
+    const auto otherGroup =
+            std::stable_partition(eligible.begin(), eligible.end(), [&](std::size_t index) {
+                return isShort != (set.rank[index] < longCount);
+            });
+    const std::vector<std::size_t> ownGroup(eligible.begin(), otherGroup);
+    std::optional<Choice> choice = this->best(set, query, ownGroup);
+    if (isShort && (!choice || choice->prediction.aheadSeconds > ownGroupMaxWaitSeconds))
+        return this->best(set, query, eligible);
+    // Longer prompts use the engines for short ones only if their own group has no engine left.
+    if (!choice && ownGroup.empty() && query.ignoreQueueLimit)
+        return this->best(set, query, eligible);
     return choice;
 }
 
 std::optional<Choice> Fleet::best(const Watched &set, const ChoiceQuery &query,
-                                  const std::vector<std::size_t> &able)
+                                  const std::vector<std::size_t> &eligible)
 {
     const double limit = toSeconds(this->policy.engineQueueLimit);
     const bool limited = this->policy.holdInEntry && !query.ignoreQueueLimit;
     std::optional<Choice> best;
     bool bestAvoided = true;
-    for (const std::size_t index : able) {
+    for (const std::size_t index : eligible) {
         const EngineView &view = *set.views[index];
         const state::FailureDomain &domain = view.description().failureDomain;
         const double transfer = toSeconds(this->hooks.transferTime(domain));
@@ -200,45 +201,47 @@
 
 std::vector<std::size_t> Fleet::candidates(const Watched &set, const ChoiceQuery &query)
 {
-    std::vector<std::size_t> able;
+    std::vector<std::size_t> eligible;
     const std::size_t wanted = this->policy.sampledEngines;
     if (wanted > 0 && wanted < set.ids.size() && !query.only) {
-        for (std::size_t tries = wanted * sampleTries; tries > 0 && able.size() < wanted; --tries) {
+        for (std::size_t tries = wanted * sampleTries; tries > 0 && eligible.size() < wanted;
+             --tries) {
             const std::size_t index = this->random() % set.ids.size();
-            const bool repeated = std::ranges::find(able, index) != able.end();
+            const bool repeated = std::ranges::find(eligible, index) != eligible.end();
             if (!repeated && this->mayTake(*set.views[index], index, set, query))
-                able.push_back(index);
+                eligible.push_back(index);
         }
-        if (!able.empty())
-            return able;
+        if (!eligible.empty())
+            return eligible;
     }
     for (std::size_t index = 0; index < set.ids.size(); ++index) {
         if (this->mayTake(*set.views[index], index, set, query))
-            able.push_back(index);
+            eligible.push_back(index);
     }
-    return able;
+    return eligible;
 }
 
 std::optional<std::size_t> Fleet::baselineChoice(const Watched &set, const ChoiceQuery &query,
-                                                 const std::vector<std::size_t> &able)
+                                                 const std::vector<std::size_t> &eligible)
 {
     switch (this->policy.placement) {
     case Placement::Predicted:
         return std::nullopt;
     case Placement::RoundRobin:
-        return able[this->nextRoundRobin++ % able.size()];
+        return eligible[this->nextRoundRobin++ % eligible.size()];
     case Placement::LeastOutstanding:
-        return *std::ranges::min_element(
-                able, {}, [&set](std::size_t index) { return set.views[index]->outstanding(); });
+        return *std::ranges::min_element(eligible, {}, [&set](std::size_t index) {
+            return set.views[index]->outstanding();
+        });
     case Placement::PrefixAffinity:
         break;
     }
-    std::size_t best = able.front();
+    std::size_t best = eligible.front();
     double bestMatch = 0;
     std::uint64_t bestScore = 0;
     const std::uint64_t seed =
             query.prompt.prefixBlocks.empty() ? this->random() : query.prompt.prefixBlocks.front();
-    for (const std::size_t index : able) {
+    for (const std::size_t index : eligible) {
         const double match = set.views[index]->prefixes().match(query.prompt.prefixBlocks, 1);
         const std::string &id = set.ids[index].value();
         const std::uint64_t score = XXH3_64bits_withSeed(id.data(), id.size(), seed);
@@ -270,14 +273,15 @@
 {
     if (pause <= state::Duration(0))
         return;
-    AskedPauses &asked = this->askedPauses[model];
+    AskedPauses &pauses = this->askedPauses[model];
     const state::Duration before =
-            asked.last.empty() ? state::Duration(0) : asked.last.begin()->first;
-    asked.last[pause] = now;
-    std::erase_if(asked.last, [now](const auto &each) { return each.second + pauseMemory < now; });
-    const state::Duration tightest = asked.last.begin()->first;
+            pauses.last.empty() ? state::Duration(0) : pauses.last.begin()->first;
+    pauses.last[pause] = now;
+    std::erase_if(pauses.last,
+                  [now](const auto &each) { return each.second + pauseLifetime < now; });
+    const state::Duration tightest = pauses.last.begin()->first;
     if (tightest != before)
-        asked.terms = this->policy.passes.withTightestPause(toSeconds(tightest));
+        pauses.terms = this->policy.passes.withTightestPause(toSeconds(tightest));
 }
 
 const PassPlacementSettings &Fleet::passTerms(const state::ModelName &model) const
@@ -298,7 +302,7 @@
     }
 }
 
-// The model's engines in the shared order, advanced to now; fills in the demand of long work.
+// Returns the model's engines in the shared order, advanced to now, and fills in longDemand.
 std::vector<const EngineView *> Fleet::rankedViews(const state::ModelName &model,
                                                    PassRequest &request, state::Instant now)
 {
@@ -359,13 +363,13 @@
     const Watched &set = found->second;
     if (!this->policy.splitEngines)
         return set.ids;
-    const std::size_t bound = this->split.longEngines(set.views.size());
-    std::vector<state::EndpointId> part;
+    const std::size_t longCount = this->split.longEngines(set.views.size());
+    std::vector<state::EndpointId> longGroup;
     for (std::size_t index = 0; index < set.ids.size(); ++index) {
-        if (set.rank[index] < bound)
-            part.push_back(set.ids[index]);
+        if (set.rank[index] < longCount)
+            longGroup.push_back(set.ids[index]);
     }
-    return part;
+    return longGroup;
 }
 
 double Fleet::prefillRate(const state::ModelName &model) const
--- a/src/coordination/routing/Fleet.h
+++ b/src/coordination/routing/Fleet.h
@@ -18,21 +18,23 @@
 
 namespace lavenderthread::coordination::routing {
 
-// What the fleet asks of its driver; pure functions.
+// Functions that the owner of a fleet supplies; they have no side effects.
 struct FleetHooks
 {
-    // One way between this entry and that failure domain.
+    // Returns the one-way transfer time between this entry and the failure domain.
     std::function<state::Duration(const state::FailureDomain &)> transferTime;
 };
 
+// A prompt to place and the constraints on its engine.
 struct ChoiceQuery
 {
     Prompt prompt;
     state::ModelName model;
-    std::uint32_t memoryTokens = 0;        // that must be free on the engine
-    bool ignoreQueueLimit = false;         // tells when it could start, not whether now
-    state::FailureDomain avoid;            // of a lost attempt; used only if no other has room
-    std::optional<state::EndpointId> only; // a resumed or reserved engine
+    std::uint32_t memoryTokens = 0; // must be free on the engine
+    bool ignoreQueueLimit = false;  // asks when the prompt could start, not whether it can now
+    state::FailureDomain avoid;     // of a lost attempt; chosen only if no other has room
+    // Engine of a resumed stream or a reservation; other engines are excluded.
+    std::optional<state::EndpointId> only;
 };
 
 struct Choice
@@ -41,6 +43,7 @@
     Prediction prediction;
 };
 
+// Keeps a view of each known engine and chooses an engine for each prompt.
 class Fleet
 {
 public:
@@ -54,61 +57,68 @@
     EngineView *find(const state::EndpointId &engine);
     const EngineView *find(const state::EndpointId &engine) const;
     EngineView *find(EngineKey engine);
-    // That work decodes, or has ended: its helpers are done with it.
+    // Reports that the work decodes or has ended, so that its helpers are done with it.
     void helpOver(std::uint64_t work, WorkStage stage, state::Instant now);
     std::size_t size() const { return this->engines.size(); }
 
-    // Engines of the model that this entry watches, best rendezvous score first.
+    // Returns the engines of the model that this entry watches, highest rendezvous score first.
     const std::vector<state::EndpointId> &watched(const state::ModelName &model) const;
 
-    // The engine for the prompt; nothing if none may take it now.
+    // Chooses the engine for the prompt; returns nullopt if none may take it now.
     std::optional<Choice> choose(const ChoiceQuery &query, state::Instant now);
 
-    // Whether the model's engines work in declared passes; placeByPasses() places on them.
+    // Returns whether engines of the model declare a profile of their passes. Prompts for these
+    // engines are placed by placeByPasses().
     bool worksInPasses(const state::ModelName &model) const;
     std::optional<PassChoice> chooseByPasses(const state::ModelName &model, PassRequest request,
                                              state::Instant now);
     LongOutlook longOutlook(const state::ModelName &model, PassRequest request, state::Instant now);
-    // Whether the prompt is long for the model's engines, which work in passes.
+    // Returns whether the prompt is long for the model's engines; false if none declares a profile.
     bool isLong(const state::ModelName &model, std::uint32_t promptTokens) const;
-    // A pause between two events that a caller of the model bears; forgotten when no caller has
-    // asked for it for a while, or one mistaken route would decide for ever.
+    // Records the pause between two events that a caller of the model accepts. It expires if no
+    // caller requests it for a while; otherwise one misconfigured route would set the limit for
+    // ever.
     void notePause(const state::ModelName &model, state::Duration pause, state::Instant now);
-    // Long prefill that some entry has sent to engines that work in passes.
+    // Records prefill that any entry has sent to an engine that works in passes. Brief prefill is
+    // ignored.
     void noteLongPrefill(const EngineView &engine, double seconds, state::Instant now);
 
-    // Prefill that some entry has sent to a watched engine; the split follows it.
+    // Records prefill that any entry has sent to a watched engine; the split follows this demand.
     void noteDemand(const EngineView &engine, std::uint32_t promptTokens, double prefillTokens,
                     state::Instant now);
-    // Engines of the model, first in the fleet-wide order, that take longer prompts; the rest is
-    // for short ones.
+    // Returns how many engines of the model, the first in the fleet-wide order, take longer
+    // prompts. The others take short ones.
     std::size_t longEngines(const state::ModelName &model) const;
-    // The watched engines that ranges of spans may use: those for longer prompts.
+    // Returns the watched engines that ranges of spans may use: those for longer prompts.
     std::vector<state::EndpointId> spanEngines(const state::ModelName &model) const;
 
-    double prefillRate(const state::ModelName &model) const; // of the watched engines
+    // Returns the total of the watched engines, in tokens per second.
+    double prefillRate(const state::ModelName &model) const;
+    // Returns whether the memory of an engine that is not draining is large enough for the tokens.
     bool anyEngineHolds(const state::ModelName &model, std::uint64_t tokens) const;
 
 private:
     struct Watched
     {
-        std::vector<state::EndpointId> ids; // by falling score, at most policy.watchedEngines
-        std::vector<EngineView *> views;    // the same engines; unordered_map keeps them in place
+        std::vector<state::EndpointId> ids; // by descending score, at most policy.watchedEngines
+        std::vector<EngineView *> views;    // the same engines; unordered_map keeps their addresses
         double prefillRate = 0;             // tokens per second of all of them
-        std::vector<std::uint32_t> rank;    // the same engines: place in the fleet-wide order
+        std::vector<std::uint32_t> rank;    // the same engines: position in the fleet-wide order
         std::vector<EngineView *> ranked;   // the same engines in the fleet-wide order
     };
-    // Seconds of long prefill a second, exponentially averaged.
+    // Long prefill in engine seconds per second, exponentially averaged.
     struct LongDemand
     {
-        double rate = 0; // at `at`
+        double rate = 0; // at updatedAt
         state::Instant at;
     };
 
+    // The pauses that callers of one model accept.
     struct AskedPauses
     {
-        std::map<state::Duration, state::Instant> last; // when each was; one a route at most
-        PassPlacementSettings terms;                    // that follow from the tightest
+        // Time of the last request for each pause; at most one pause per route.
+        std::map<state::Duration, state::Instant> last;
+        PassPlacementSettings terms; // adapted to the tightest pause
     };
 
     double decayed(const LongDemand &demand, state::Instant now) const;
@@ -119,10 +129,10 @@
     bool mayTake(const EngineView &view, std::size_t index, const Watched &set,
                  const ChoiceQuery &query) const;
     std::optional<Choice> best(const Watched &set, const ChoiceQuery &query,
-                               const std::vector<std::size_t> &able);
+                               const std::vector<std::size_t> &eligible);
     std::vector<std::size_t> candidates(const Watched &set, const ChoiceQuery &query);
     std::optional<std::size_t> baselineChoice(const Watched &set, const ChoiceQuery &query,
-                                              const std::vector<std::size_t> &able);
+                                              const std::vector<std::size_t> &eligible);
 
     std::string entry;
     PolicySettings policy;
--- a/src/coordination/routing/LongPlacement.cpp
+++ b/src/coordination/routing/LongPlacement.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-// Engines at the end of the order that answer long requests: as many as have the places and the
-// memory for those that are there and one more.
-std::size_t answeringEngines(std::span<const PassCandidate> candidates, const PassRequest &request,
-                             const PassPlacementSettings &settings)
+// Returns the number of engines, at the end of the order, that answer long requests: enough to have
+// the slots and the memory for the present requests and one more.
+std::size_t answeringEngineCount(std::span<const PassCandidate> candidates,
+                                 const PassRequest &request, const PassPlacementSettings &settings)
 {
     if (candidates.size() < 2)
         return candidates.size();
@@ -20,10 +20,10 @@
     double memory = request.memoryTokens;
     double capacity = 0;
     for (const PassCandidate &candidate : candidates) {
-        const double all = double(candidate.profile().kvCapacityTokens);
+        const double engineCapacity = double(candidate.profile().kvCapacityTokens);
         answers += candidate.longs;
-        memory += all - std::min(all, double(candidate.view->freeTokens()));
-        capacity += all;
+        memory += engineCapacity - std::min(engineCapacity, double(candidate.view->freeTokens()));
+        capacity += engineCapacity;
     }
     const double engineMemory =
             capacity / double(candidates.size()) * settings.answeringMemoryShare;
@@ -33,21 +33,22 @@
     return std::clamp(wanted, std::size_t(1), candidates.size() - 1);
 }
 
-// The least crowded with a place and, unless the memory is shared, room; in the answering part if
-// it has one.
-const PassCandidate *answeringEngine(std::span<const PassCandidate> candidates, std::size_t part,
-                                     bool shared, const PassRequest &request,
+// Returns the least loaded engine with a free slot and, unless helpers hold part of the memory,
+// enough free memory; null if there is none. Prefers the last `answeringCount` engines.
+const PassCandidate *answeringEngine(std::span<const PassCandidate> candidates,
+                                     std::size_t answeringCount, bool memoryShared,
+                                     const PassRequest &request,
                                      const PassPlacementSettings &settings)
 {
     const PassCandidate *best = nullptr;
     double bestCost = std::numeric_limits<double>::max();
     for (std::size_t index = 0; index < candidates.size(); ++index) {
         const PassCandidate &candidate = candidates[index];
-        if (shared ? !candidate.hasSlot() : !candidate.hasRoom(request))
+        if (memoryShared ? !candidate.hasSlot() : !candidate.hasRoom(request))
             continue;
         double cost = candidate.crowding();
         cost += candidate.briefs > 0 ? settings.besideTightSeconds : 0;
-        cost += index + part < candidates.size() ? settings.outsideAnsweringSeconds : 0;
+        cost += index + answeringCount < candidates.size() ? settings.outsideAnsweringSeconds : 0;
         if (cost < bestCost) {
             best = &candidate;
             bestCost = cost;
@@ -59,25 +60,27 @@
 struct Helper
 {
     const PassCandidate *candidate = nullptr;
-    double cost = 0; // its waiting prefill, and what long prefill costs there
+    double cost = 0; // seconds: its waiting prefill and the cost of long prefill there
 
     const state::EndpointId &id() const { return this->candidate->view->description().id; }
 };
 
-// An engine prefills parts for others ahead of its own requests. Were it given more of them while
-// one of its own waits, that one would starve: it was seen to wait ten times as long as predicted.
-// The first token alone tells that it waits no longer; the time that it should have taken does not.
+// Returns whether the engine may prefill a part for another engine.
+//
+// An engine prefills such parts ahead of its own requests, so more of them would starve a request
+// of its own that waits: one was seen to wait ten times as long as predicted. Only its first token
+// shows that a request no longer waits; the predicted time does not.
 //
-// The newest part goes ahead of older ones too. So a helper is given a second part only when the
-// first should be done, and a third only when one of them is known to be.
+// The newest part also goes ahead of older ones. A helper therefore gets a second part only when
+// the first should be done, and a third only when one of them is known to be done.
 bool mayHelp(const PassCandidate &candidate, const PassPlacementSettings &settings)
 {
     return candidate.helped < settings.partsPerHelper && candidate.pending == 0
            && candidate.waiting <= settings.startWaitingSeconds;
 }
 
-// What it costs to prefill long at this engine, beside the time it takes.
-double besideCost(const PassCandidate &candidate, const PassPlacementSettings &settings)
+// Returns the cost of long prefill on this engine in seconds, excluding the prefill time itself.
+double longPrefillCost(const PassCandidate &candidate, const PassPlacementSettings &settings)
 {
     double cost = 0;
     if (candidate.briefs > 0)
@@ -87,6 +90,7 @@
     return cost;
 }
 
+// Returns the engines that may help, in order of rising cost.
 std::vector<Helper> freeHelpers(std::span<const PassCandidate> candidates,
                                 const PassCandidate &answering,
                                 const PassPlacementSettings &settings)
@@ -95,14 +99,14 @@
     for (const PassCandidate &candidate : candidates) {
         if (&candidate == &answering || !mayHelp(candidate, settings))
             continue;
-        helpers.push_back({&candidate, candidate.waiting + besideCost(candidate, settings)});
+        helpers.push_back({&candidate, candidate.waiting + longPrefillCost(candidate, settings)});
     }
     std::ranges::stable_sort(helpers, {}, &Helper::cost);
     return helpers;
 }
 
-// Where what the answering engine can't hold is kept: at the helpers with the most free memory.
-// Empty if they can't hold it together either.
+// Distributes what exceeds the answering engine's memory over the helpers with the most free
+// memory. Returns an empty vector if they can't hold it together either.
 std::vector<MemoryShare> shareMemory(std::vector<Helper> helpers, const PassCandidate &answering,
                                      const PassRequest &request,
                                      const PassPlacementSettings &settings)
@@ -110,8 +114,8 @@
     std::ranges::stable_sort(helpers, std::greater<>(), [](const Helper &helper) {
         return helper.candidate->view->freeTokens();
     });
-    const double own = double(answering.view->freeTokens()) * settings.memoryShare;
-    double left = double(request.memoryTokens) - own;
+    const double ownMemory = double(answering.view->freeTokens()) * settings.memoryShare;
+    double left = double(request.memoryTokens) - ownMemory;
     std::vector<MemoryShare> shares;
     for (const Helper &helper : helpers) {
         if (left <= 0 || shares.size() == settings.mostMemoryHelpers)
@@ -126,60 +130,63 @@
     return left <= 0 ? shares : std::vector<MemoryShare>();
 }
 
-// The helpers that hold memory come first, in the order in which it is filled.
-void putFirst(std::vector<Helper> &helpers, const std::vector<MemoryShare> &memory)
+// Moves the helpers that hold memory to the front, in the order in which their memory is filled.
+void moveMemoryHelpersFirst(std::vector<Helper> &helpers, const std::vector<MemoryShare> &memory)
 {
-    const auto place = [&](const Helper &helper) {
+    const auto position = [&](const Helper &helper) {
         return std::ranges::find(memory, helper.id(), &MemoryShare::engine) - memory.begin();
     };
-    std::ranges::stable_sort(helpers, {}, place); // all others share the place behind the last
+    std::ranges::stable_sort(helpers, {}, position); // all others share the last position
 }
 
-// One part is prefilled in one pass, with what waits there already. Longer than those who decode
-// there bear, it would make all their answers late for the sake of one.
-bool bears(const PassCandidate &candidate, double partSeconds)
+// Returns whether a part fits the pauses that the callers decoding there accept. It is prefilled in
+// one pass with what waits there already; a longer pass would delay all their answers for one
+// prompt.
+bool fitsPauses(const PassCandidate &candidate, double partSeconds)
 {
     return candidate.waiting * candidate.speed + partSeconds <= candidate.bearable;
 }
 
-// The first `count` that bear a part of that length, `least` of which nobody can stand in for;
-// fewer if there are no more.
-std::vector<Helper> bearing(const std::vector<Helper> &helpers, std::size_t least,
-                            std::size_t count, double partSeconds)
+// Returns the first `count` helpers whose callers accept a part of that length, or fewer if there
+// are no more. The first `requiredHelpers` can't be replaced: if one of them doesn't fit, the
+// result is empty.
+std::vector<Helper> fittingHelpers(const std::vector<Helper> &helpers, std::size_t requiredHelpers,
+                                   std::size_t count, double partSeconds)
 {
     std::vector<Helper> chosen;
     for (std::size_t index = 0; index < helpers.size() && chosen.size() < count; ++index) {
-        if (bears(*helpers[index].candidate, partSeconds))
+        if (fitsPauses(*helpers[index].candidate, partSeconds))
             chosen.push_back(helpers[index]);
-        else if (index < least)
+        else if (index < requiredHelpers)
             return {};
     }
     return chosen;
 }
 
-// As many helpers as bring the end of the prefill forward by more than each one costs; `least` of
-// them, the first ones, are needed in any case. Nothing if no number of them makes parts that are
-// short enough for those who decode there.
+// Selects the number of helpers at which the end of the prefill plus the cost of the helpers is
+// least. The first `requiredHelpers` are always included. Returns nullopt if no number of helpers
+// makes the parts short enough for the requests that decode there.
 std::optional<std::vector<Helper>> chooseHelpers(const std::vector<Helper> &helpers,
-                                                 std::size_t least, const PassCandidate &answering,
-                                                 double seconds,
+                                                 std::size_t requiredHelpers,
+                                                 const PassCandidate &answering, double seconds,
                                                  const PassPlacementSettings &settings)
 {
-    const double ownCost = answering.waiting + besideCost(answering, settings);
+    const double ownCost = answering.waiting + longPrefillCost(answering, settings);
     std::optional<std::vector<Helper>> best;
     double bestCost = std::numeric_limits<double>::max();
-    for (std::size_t count = least; count <= std::min(helpers.size(), settings.mostHelpers);
-         ++count) {
-        const double part = seconds / double(count + 1);
-        if (!bears(answering, part))
+    for (std::size_t count = requiredHelpers;
+         count <= std::min(helpers.size(), settings.mostHelpers); ++count) {
+        const double partSeconds = seconds / double(count + 1);
+        if (!fitsPauses(answering, partSeconds))
             continue;
-        const std::vector<Helper> chosen = bearing(helpers, least, count, part);
+        const std::vector<Helper> chosen =
+                fittingHelpers(helpers, requiredHelpers, count, partSeconds);
         if (chosen.size() < count)
             continue;
-        double last = ownCost;
+        double latest = ownCost;
         for (const Helper &helper : chosen)
-            last = std::max(last, helper.cost);
-        const double cost = last + part + settings.helperSeconds * double(count);
+            latest = std::max(latest, helper.cost);
+        const double cost = latest + partSeconds + settings.helperSeconds * double(count);
         if (cost >= bestCost)
             continue;
         bestCost = cost;
@@ -188,33 +195,36 @@
     return best;
 }
 
-// Whether enough engines are free for the prompt to start. With a few it would hold them for long
-// while it waits a moment for the others; but engines that idle until most of them are free are
-// lost to all who wait, so parts that are short beside its target are enough.
+// Returns whether enough engines are free for the prompt to start. With only a few it would occupy
+// them for long, although the others would be free after a moment. But engines that idle until most
+// of them are free are lost to all waiting prompts, so it may also start if its parts are short
+// compared with its target.
 bool enoughFree(std::size_t free, std::size_t engines, double seconds, const PassRequest &request,
                 const PassPlacementSettings &settings)
 {
     if (seconds / double(free + 1) <= request.firstTargetSeconds * settings.startPartShare)
         return true;
-    const double worth = std::sqrt(seconds / settings.helperSeconds) - 1; // where one more pays not
-    const double part = settings.startShare * double(engines);
-    return double(free) >= std::min(std::max(worth, 0.0), part) - 1;
+    // From this number on, one more helper costs more than it saves.
+    const double worthwhileHelpers = std::sqrt(seconds / settings.helperSeconds) - 1;
+    const double wanted = settings.startShare * double(engines);
+    return double(free) >= std::min(std::max(worthwhileHelpers, 0.0), wanted) - 1;
 }
 
-// The least crowded engine for brief requests that may answer the prompt too; null if none may.
-const PassCandidate *answeringBesideBriefs(std::span<const PassCandidate> briefPart,
-                                           double partSeconds, const PassRequest &request,
-                                           const PassPlacementSettings &settings)
+// Returns the least loaded engine of the brief group that may also answer the prompt; null if none
+// may.
+const PassCandidate *answeringBriefEngine(std::span<const PassCandidate> briefGroup,
+                                          double partSeconds, const PassRequest &request,
+                                          const PassPlacementSettings &settings)
 {
-    const double bearable = settings.besideBriefPauseShare * settings.tightestPauseSeconds;
+    const double longestPass = settings.besideBriefPauseShare * settings.tightestPauseSeconds;
     const PassCandidate *best = nullptr;
-    for (const PassCandidate &candidate : briefPart) {
-        const double places = settings.briefPlaceShareCrowded * candidate.profile().slots;
+    for (const PassCandidate &candidate : briefGroup) {
+        const double slots = settings.briefPlaceShareCrowded * candidate.profile().slots;
         if (!candidate.hasRoom(request) || double(candidate.longs) >= settings.longsBesideBriefs
-            || double(candidate.answers) >= places)
+            || double(candidate.answers) >= slots)
             continue;
         const double pass = candidate.passSecondsWith(request);
-        if (pass + candidate.waiting + partSeconds > bearable)
+        if (pass + candidate.waiting + partSeconds > longestPass)
             continue;
         if (best == nullptr || candidate.crowding() < best->crowding())
             best = &candidate;
@@ -222,37 +232,39 @@
     return best;
 }
 
+// Places the prompt on `candidates`, or with the answering engine in `briefGroup`.
 std::optional<PassChoice> placeAmong(std::span<const PassCandidate> candidates,
-                                     std::span<const PassCandidate> briefPart,
+                                     std::span<const PassCandidate> briefGroup,
                                      const PassRequest &request,
                                      const PassPlacementSettings &settings)
 {
     const double seconds =
             state::routes::prefillSeconds(candidates.front().profile(), request.promptTokens);
-    const std::size_t part = answeringEngines(candidates, request, settings);
-    const PassCandidate *answering = answeringEngine(candidates, part, false, request, settings);
-    const bool shared = answering == nullptr;
-    if (shared)
-        answering = answeringEngine(candidates, part, true, request, settings);
+    const std::size_t answeringCount = answeringEngineCount(candidates, request, settings);
+    const PassCandidate *answering =
+            answeringEngine(candidates, answeringCount, false, request, settings);
+    const bool memoryShared = answering == nullptr;
+    if (memoryShared)
+        answering = answeringEngine(candidates, answeringCount, true, request, settings);
     if (answering == nullptr || answering->ownWaiting > settings.startOwnWaitingSeconds)
         return std::nullopt;
     std::vector<Helper> helpers = freeHelpers(candidates, *answering, settings);
     if (!enoughFree(helpers.size(), candidates.size(), seconds, request, settings))
         return std::nullopt;
     PassChoice choice;
-    if (shared) {
+    if (memoryShared) {
         choice.memory = shareMemory(helpers, *answering, request, settings);
         if (choice.memory.empty())
             return std::nullopt;
-        putFirst(helpers, choice.memory);
+        moveMemoryHelpersFirst(helpers, choice.memory);
     }
     const auto chosen = chooseHelpers(helpers, choice.memory.size(), *answering, seconds, settings);
     if (!chosen)
         return std::nullopt;
     choice.partSeconds = seconds / double(chosen->size() + 1);
     const PassCandidate *beside =
-            shared ? nullptr
-                   : answeringBesideBriefs(briefPart, choice.partSeconds, request, settings);
+            memoryShared ? nullptr
+                         : answeringBriefEngine(briefGroup, choice.partSeconds, request, settings);
     if (beside != nullptr)
         answering = beside;
     double waiting = answering->waiting;
@@ -265,28 +277,28 @@
 
 } // namespace
 
-// Where the border has just moved, engines of the long part still answer brief requests. They are
-// used as well only for a prompt whose parts fit into their passes: one long part makes all of
-// their callers' answers late.
+// After the border has moved, engines of the long group may still answer brief requests. They are
+// used only for a prompt whose parts fit into their passes: one long part would delay the answers
+// of all their callers.
 std::optional<PassChoice> placeLong(std::span<const PassCandidate> candidates,
-                                    std::span<const PassCandidate> briefPart,
+                                    std::span<const PassCandidate> briefGroup,
                                     const PassRequest &request,
                                     const PassPlacementSettings &settings)
 {
     if (candidates.empty())
         return std::nullopt;
-    std::vector<PassCandidate> calm;
-    std::ranges::copy_if(candidates, std::back_inserter(calm), [&](const PassCandidate &each) {
-        return each.briefs <= settings.fewBriefs;
-    });
-    if (!calm.empty()) {
-        std::optional<PassChoice> choice = placeAmong(calm, briefPart, request, settings);
-        if (choice || calm.size() == candidates.size())
+    std::vector<PassCandidate> withFewBriefs;
+    std::ranges::copy_if(
+            candidates, std::back_inserter(withFewBriefs),
+            [&](const PassCandidate &each) { return each.briefs <= settings.fewBriefs; });
+    if (!withFewBriefs.empty()) {
+        std::optional<PassChoice> choice = placeAmong(withFewBriefs, briefGroup, request, settings);
+        if (choice || withFewBriefs.size() == candidates.size())
             return choice;
     }
-    std::optional<PassChoice> choice = placeAmong(candidates, briefPart, request, settings);
+    std::optional<PassChoice> choice = placeAmong(candidates, briefGroup, request, settings);
     const bool fits = choice && choice->partSeconds <= settings.besideTightPart;
-    return fits || calm.empty() ? choice : std::nullopt;
+    return fits || withFewBriefs.empty() ? choice : std::nullopt;
 }
 
 } // namespace lavenderthread::coordination::routing
--- a/src/coordination/routing/LongPlacement.h
+++ b/src/coordination/routing/LongPlacement.h
@@ -1,4 +1,4 @@
-// Placing a long prompt on its part of the engines: one answers, others help to prefill.
+// Placement of a long prompt on the engines for long requests: one answers, others help to prefill.
 #pragma once
 
 #include "coordination/routing/PassCandidate.h"
@@ -7,11 +7,12 @@
 
 namespace lavenderthread::coordination::routing {
 
-// `candidates`: the engines for long requests, in the shared order; `briefPart`: the others.
-// Nothing if the prompt has to wait: engines share their time among all parts that they prefill at
-// once, so one that starts beside others ends late and makes them late.
+// Selects the engines for a long prompt. `candidates` are the engines for long requests, in the
+// shared order, and `briefGroup` the engines for brief ones. Returns nullopt if the prompt has to
+// wait: an engine divides its time among all parts that it prefills at once, so a prompt that
+// starts beside others ends late and delays them too.
 std::optional<PassChoice> placeLong(std::span<const PassCandidate> candidates,
-                                    std::span<const PassCandidate> briefPart,
+                                    std::span<const PassCandidate> briefGroup,
                                     const PassRequest &request,
                                     const PassPlacementSettings &settings);
 
--- a/src/coordination/routing/PassCandidate.cpp
+++ b/src/coordination/routing/PassCandidate.cpp
@@ -9,28 +9,28 @@
 
 PassCandidate summarise(const EngineView &view, const PassPlacementSettings &settings)
 {
-    PassCandidate sum;
-    sum.view = &view;
-    sum.usable = !view.suspected;
-    sum.speed = view.prefillSpeed();
-    sum.waiting = view.prefillSecondsLeft() / sum.speed;
+    PassCandidate candidate;
+    candidate.view = &view;
+    candidate.usable = !view.suspected;
+    candidate.speed = view.prefillSpeed();
+    candidate.waiting = view.prefillSecondsLeft() / candidate.speed;
     for (const Resident &resident : view.residents()) {
         if (resident.helping) {
-            sum.helped += resident.decoding ? 0 : 1;
+            candidate.helped += resident.decoding ? 0 : 1;
             continue;
         }
-        ++sum.answers;
-        sum.pending += resident.decoding ? 0 : 1;
-        sum.ownWaiting += view.prefillSeconds(resident.prefillLeft);
-        sum.context += resident.promptTokens;
+        ++candidate.answers;
+        candidate.pending += resident.decoding ? 0 : 1;
+        candidate.ownWaiting += view.prefillSeconds(resident.prefillLeft);
+        candidate.context += resident.promptTokens;
         const bool tight = resident.pauseSeconds > 0 && settings.isTight(resident.pauseSeconds);
-        ++(tight ? sum.briefs : sum.longs);
+        ++(tight ? candidate.briefs : candidate.longs);
         if (!tight && resident.pauseSeconds > 0)
-            sum.bearable = std::min(sum.bearable, resident.pauseSeconds);
+            candidate.bearable = std::min(candidate.bearable, resident.pauseSeconds);
     }
-    if (sum.longs > 0)
-        sum.bearable -= sum.passSeconds();
-    return sum;
+    if (candidate.longs > 0)
+        candidate.bearable -= candidate.passSeconds();
+    return candidate;
 }
 
 } // namespace
@@ -70,8 +70,8 @@
 
 double firstEventPassSeconds(const PassCandidate &answering, const PassRequest &request)
 {
-    // The pass in progress ends, on average half over; the first event's own tokens take a whole
-    // one.
+    // The remaining half, on average, of the pass in progress, and a whole pass for the tokens of
+    // the first event.
     constexpr double passes = 1.5;
     return passes * answering.passSecondsWith(request);
 }
--- a/src/coordination/routing/PassCandidate.h
+++ b/src/coordination/routing/PassCandidate.h
@@ -1,4 +1,4 @@
-// One engine that works in passes, summed up for one decision.
+// Summary of one engine that works in passes, for one placement decision.
 #pragma once
 
 #include "coordination/routing/PassPlacement.h"
@@ -10,17 +10,17 @@
 struct PassCandidate
 {
     const EngineView *view = nullptr;
-    double speed = 1;        // of prefill, beside what it decodes
-    double waiting = 0;      // seconds until the prefill that is there is done
-    double ownWaiting = 0;   // engine seconds of it that are for requests that it answers itself
-    double context = 0;      // tokens of the requests that it answers
+    double speed = 1;        // engine seconds of prefill per second, beside its decoding
+    double waiting = 0;      // seconds until the waiting prefill is done
+    double ownWaiting = 0;   // engine seconds of it for requests that this engine answers
+    double context = 0;      // prompt tokens of the requests that it answers
     std::size_t answers = 0; // requests that it answers
-    std::size_t briefs = 0;  // of them with a tight pause
-    std::size_t longs = 0;   // the others
-    std::size_t helped = 0;  // parts for others whose prompt has no first token yet
-    std::size_t pending = 0; // requests that it answers whose first token has not come
-    // Seconds of prefill that one pass may have before a caller whose answer is decoded here sees a
-    // pause longer than he bears; callers with tight pauses aside.
+    std::size_t briefs = 0;  // requests among them with a tight pause
+    std::size_t longs = 0;   // the other ones among them
+    std::size_t helped = 0;  // parts for other engines whose prompt has no first token yet
+    std::size_t pending = 0; // requests that it answers and that have no first token yet
+    // Seconds of prefill that one pass may contain before a caller whose answer is decoded here
+    // sees a longer pause than it accepts. Callers with tight pauses are not counted.
     double bearable = std::numeric_limits<double>::max();
     bool usable = false;
 
@@ -30,24 +30,25 @@
     {
         return this->hasSlot() && this->view->freeTokens() >= request.memoryTokens;
     }
-    // One pass of those who are answered there, and with this request besides; without prefill.
+    // Time of one decoding pass without prefill, for the present requests and with this one added.
     double passSeconds() const;
     double passSecondsWith(const PassRequest &request) const;
-    // Prefill that is there delays a newcomer as it is; each request that decodes there makes the
-    // passes longer and may be joined by more prefill.
+    // Load in seconds: the waiting prefill, which delays a new request directly, plus a cost for
+    // each request answered, which lengthens the passes and may be joined by more prefill.
     double crowding() const;
 };
 
-// The engines that may be given the request, in the order given. Where most are suspected the fault
-// is more likely this entry's, and none is left out.
+// Returns the engines that may receive the request, in the given order. Suspected engines are left
+// out unless most engines are suspected: then the fault is more likely in this entry.
 std::vector<PassCandidate> passCandidates(const std::vector<const EngineView *> &engines,
                                           const std::vector<state::EndpointId> &avoid,
                                           const PassPlacementSettings &settings);
 
-// From the start of the pass that ends the prefill to the first event.
+// Returns the seconds from the start of the pass that ends the prefill to the first event.
 double firstEventPassSeconds(const PassCandidate &answering, const PassRequest &request);
 
-// Fills in engine and predictions of a choice whose parts are known.
+// Fills in the engine and the predictions of a choice whose parts are known. `waiting`: seconds
+// until the earlier prefill is done.
 PassChoice completeChoice(PassChoice choice, const PassCandidate &answering, double waiting,
                           const PassRequest &request);
 
--- a/src/coordination/routing/PassPlacement.cpp
+++ b/src/coordination/routing/PassPlacement.cpp
@@ -1,4 +1,4 @@
-// The borders between the parts, and brief requests.
+// Sizes of the engine groups, and placement of brief requests.
 #include "coordination/routing/PassPlacement.h"
 
 #include "coordination/routing/LongPlacement.h"
@@ -12,22 +12,22 @@
 
 namespace {
 
-// One of the least crowded with room; null if none has room.
-const PassCandidate *drawLeastCrowded(std::span<const PassCandidate> candidates,
-                                      const PassRequest &request, double evenSeconds)
+// Returns one of the least loaded engines with a free slot and memory; null if there is none.
+const PassCandidate *drawLeastLoaded(std::span<const PassCandidate> candidates,
+                                     const PassRequest &request, double equalLoadSeconds)
 {
     double least = std::numeric_limits<double>::max();
-    std::vector<const PassCandidate *> even;
+    std::vector<const PassCandidate *> leastLoaded;
     for (const PassCandidate &candidate : candidates) {
         if (!candidate.hasRoom(request))
             continue;
         least = std::min(least, candidate.crowding());
-        even.push_back(&candidate);
+        leastLoaded.push_back(&candidate);
     }
-    std::erase_if(even, [&](const PassCandidate *each) {
-        return each->crowding() > least + evenSeconds;
+    std::erase_if(leastLoaded, [&](const PassCandidate *each) {
+        return each->crowding() > least + equalLoadSeconds;
     });
-    return even.empty() ? nullptr : even[request.draw % even.size()];
+    return leastLoaded.empty() ? nullptr : leastLoaded[request.draw % leastLoaded.size()];
 }
 
 PassChoice briefChoice(const PassCandidate &engine, const PassRequest &request)
@@ -37,52 +37,52 @@
     return completeChoice(std::move(choice), engine, engine.waiting, request);
 }
 
-// In their part the one with the least to do. Outside it if their part has no place left, or if all
-// of it is so busy that the first event would be late: the border follows the answers in progress,
-// and many callers at one moment are ahead of it.
+// Selects the least loaded engine of the brief group. Falls back to all engines if the group has no
+// free slot, or if it is so busy that the first event would be late: the group's size follows the
+// requests in progress and lags behind a burst of arrivals.
 std::optional<PassChoice> placeBrief(const std::vector<PassCandidate> &candidates,
                                      std::size_t border, const PassRequest &request,
                                      const PassPlacementSettings &settings)
 {
     const PassCandidate *best =
-            drawLeastCrowded(std::span(candidates).first(border), request, settings.evenSeconds);
+            drawLeastLoaded(std::span(candidates).first(border), request, settings.evenSeconds);
     if (best != nullptr) {
         const PassChoice choice = briefChoice(*best, request);
-        const double bound = request.firstTargetSeconds * settings.briefBusyShare;
-        if (bound <= 0 || choice.firstEventSeconds <= bound)
+        const double latestFirstEvent = request.firstTargetSeconds * settings.briefBusyShare;
+        if (latestFirstEvent <= 0 || choice.firstEventSeconds <= latestFirstEvent)
             return choice;
     }
-    best = drawLeastCrowded(candidates, request, settings.evenSeconds);
+    best = drawLeastLoaded(candidates, request, settings.evenSeconds);
     if (best == nullptr)
         return std::nullopt;
     return briefChoice(*best, request);
 }
 
-// A single engine is left for both: without it long prompts would wait for an empty part and be
-// refused while it is idle.
-std::span<const PassCandidate> longPart(const std::vector<PassCandidate> &candidates,
-                                        std::size_t border)
+// A single engine serves brief and long requests. Otherwise long prompts would wait for an empty
+// group and be refused while the engine is idle.
+std::span<const PassCandidate> longGroup(const std::vector<PassCandidate> &candidates,
+                                         std::size_t border)
 {
     const std::span all(candidates);
     return border < all.size() ? all.subspan(border) : all;
 }
 
-// Everything but the prefill ahead.
-PassLook lookAt(const std::vector<PassCandidate> &candidates, const PassRequest &request,
-                const PassPlacementSettings &settings)
+// Fills in everything except waitingSeconds.
+PassLook takeSnapshot(const std::vector<PassCandidate> &candidates, const PassRequest &request,
+                      const PassPlacementSettings &settings)
 {
-    PassLook look;
-    look.engines = candidates.size();
-    look.longDemand = request.longDemand;
+    PassLook snapshot;
+    snapshot.engines = candidates.size();
+    snapshot.longDemand = request.longDemand;
     for (const PassCandidate &candidate : candidates)
-        look.briefs += candidate.briefs;
+        snapshot.briefs += candidate.briefs;
     BriefLoad load;
-    load.engines = look.engines;
+    load.engines = snapshot.engines;
     load.places = candidates.empty() ? 0 : candidates.front().profile().slots;
-    load.briefs = look.briefs;
-    load.longDemand = look.longDemand;
-    look.briefEngines = briefEngines(load, settings);
-    return look;
+    load.briefs = snapshot.briefs;
+    load.longDemand = snapshot.longDemand;
+    snapshot.briefEngines = briefEngines(load, settings);
+    return snapshot;
 }
 
 } // namespace
@@ -98,9 +98,9 @@
     const auto longEngines = std::size_t(std::ceil(load.longDemand / settings.longSecondsPerEngine
                                                    + settings.longEnginesBeside));
     const std::size_t left = load.engines > longEngines ? load.engines - longEngines : 0;
-    const std::size_t roomy = enginesFor(settings.briefPlaceShare);
-    const std::size_t crowded = enginesFor(settings.briefPlaceShareCrowded);
-    const std::size_t chosen = roomy <= left ? roomy : std::max(crowded, left);
+    const std::size_t preferred = enginesFor(settings.briefPlaceShare);
+    const std::size_t minimum = enginesFor(settings.briefPlaceShareCrowded);
+    const std::size_t chosen = preferred <= left ? preferred : std::max(minimum, left);
     return std::clamp(chosen, std::size_t(1), load.engines - 1);
 }
 
@@ -117,16 +117,16 @@
     const std::vector<PassCandidate> candidates = passCandidates(engines, request.avoid, settings);
     if (candidates.empty())
         return std::nullopt;
-    PassLook look = lookAt(candidates, request, settings);
-    const std::size_t border = look.briefEngines;
+    PassLook snapshot = takeSnapshot(candidates, request, settings);
+    const std::size_t border = snapshot.briefEngines;
     const bool brief = isBrief(candidates.front().profile(), request.promptTokens, settings);
     std::optional<PassChoice> choice =
             brief ? placeBrief(candidates, border, request, settings)
-                  : placeLong(longPart(candidates, border), std::span(candidates).first(border),
+                  : placeLong(longGroup(candidates, border), std::span(candidates).first(border),
                               request, settings);
     if (choice) {
-        look.waitingSeconds = choice->waitingSeconds;
-        choice->look = look;
+        snapshot.waitingSeconds = choice->waitingSeconds;
+        choice->look = snapshot;
     }
     return choice;
 }
@@ -137,24 +137,24 @@
     const std::vector<PassCandidate> candidates = passCandidates(engines, request.avoid, settings);
     if (candidates.empty())
         return {};
-    LongOutlook outlook;
-    outlook.look = lookAt(candidates, request, settings);
-    const std::span part = longPart(candidates, outlook.look.briefEngines);
-    outlook.engines = part.size();
-    if (part.empty())
-        return outlook;
-    for (const PassCandidate &candidate : part)
-        outlook.backlogSeconds += candidate.waiting / double(part.size());
-    outlook.look.waitingSeconds = outlook.backlogSeconds;
-    const PassCandidate &last = part.back(); // of those that answer
-    const std::size_t parts = std::min(part.size(), settings.mostHelpers + 1);
-    outlook.engineSeconds = state::routes::prefillSeconds(last.profile(), request.promptTokens);
+    LongOutlook estimate;
+    estimate.look = takeSnapshot(candidates, request, settings);
+    const std::span group = longGroup(candidates, estimate.look.briefEngines);
+    estimate.engines = group.size();
+    if (group.empty())
+        return estimate;
+    for (const PassCandidate &candidate : group)
+        estimate.backlogSeconds += candidate.waiting / double(group.size());
+    estimate.look.waitingSeconds = estimate.backlogSeconds;
+    const PassCandidate &last = group.back(); // long requests are answered at the group's end
+    const std::size_t parts = std::min(group.size(), settings.mostHelpers + 1);
+    estimate.engineSeconds = state::routes::prefillSeconds(last.profile(), request.promptTokens);
     PassChoice alone;
-    alone.partSeconds = outlook.engineSeconds / double(parts);
+    alone.partSeconds = estimate.engineSeconds / double(parts);
     alone = completeChoice(std::move(alone), last, 0, request);
-    outlook.prefillSeconds = alone.firstEventSeconds;
-    outlook.completionSeconds = alone.completionSeconds - alone.firstEventSeconds;
-    return outlook;
+    estimate.prefillSeconds = alone.firstEventSeconds;
+    estimate.completionSeconds = alone.completionSeconds - alone.firstEventSeconds;
+    return estimate;
 }
 
 } // namespace lavenderthread::coordination::routing
--- a/src/coordination/routing/PassPlacement.h
+++ b/src/coordination/routing/PassPlacement.h
@@ -1,13 +1,14 @@
-// Placing a prompt on engines that work in passes: which engine answers it, and which others help
-// to prefill it.
+// Placement of prompts on engines that work in forward passes: selects the engine that answers a
+// prompt and the helpers that prefill parts of it.
 //
-// An engine that decodes for someone holds each token back until the pass with all its prefill is
-// done, and takes new prefill in only when the next pass begins. So the engines of a model are kept
-// in an order that all entries share and used in three parts. The first ones answer brief requests,
-// whose prefill is short beside the pauses that callers bear. The last ones answer long requests.
-// Those between decode for nobody and prefill parts of long prompts, as one machine, one prompt
-// after the other. Where the borders lie follows from the requests that are being answered and from
-// the long work of the last second or two; nobody decides it, since all entries see the same notes.
+// A decoding engine returns its next tokens only after the whole pass, with all prefill in it, is
+// done, and admits new prefill only when the next pass begins. The engines of a model are therefore
+// kept in an order that all entries share, and are divided into three groups. The first group
+// answers brief requests, whose prefill is short compared with the pauses that callers accept. The
+// last group answers long requests. The engines in between decode nothing and prefill parts of
+// long prompts together, one prompt after the other. The group borders follow from the requests in
+// progress and the long prefill of the last second or two. No coordinator sets them: all entries
+// receive the same work notes.
 #pragma once
 
 #include "coordination/routing/EngineView.h"
@@ -19,19 +20,19 @@
 
 namespace lavenderthread::coordination::routing {
 
-// What placing needs to know of a request.
+// Properties of a request that placement depends on.
 struct PassRequest
 {
     std::uint32_t promptTokens = 0;
     double outputTokens = 0; // expected
     std::uint32_t memoryTokens = 0;
-    std::vector<state::EndpointId> avoid; // engines that have failed it before
-    double firstTargetSeconds = 0;        // from now to the first event, as asked; 0: not asked
-    double longDemand = 0;  // seconds of long prefill that all entries send in a second
-    std::uint64_t draw = 0; // chooses between engines that are as good
+    std::vector<state::EndpointId> avoid; // engines that have failed this request
+    double firstTargetSeconds = 0;        // requested time from now to the first event; 0: none
+    double longDemand = 0;  // long prefill from all entries, in engine seconds per second
+    std::uint64_t draw = 0; // random value that selects among equally loaded engines
 };
 
-// Memory that is to be reserved at a helper, for a prompt that the answering engine can't hold.
+// Memory to reserve at a helper for a prompt that exceeds the answering engine's free memory.
 struct MemoryShare
 {
     state::EndpointId engine;
@@ -40,63 +41,65 @@
     auto operator<=>(const MemoryShare &) const = default;
 };
 
-// What a decision saw of the fleet, for the log: on its own believed state a wrong one can be
-// traced.
+// State of the fleet as a placement decision saw it. It is logged so that a wrong decision can be
+// traced to the state that it was based on.
 struct PassLook
 {
-    std::size_t engines = 0;      // usable ones
-    std::size_t briefEngines = 0; // the border between brief and long requests
-    std::size_t briefs = 0;       // brief requests that are being answered
-    double longDemand = 0;        // seconds of long prefill that are sent in a second
-    double waitingSeconds = 0;    // prefill ahead, at the engine chosen or on average
+    std::size_t engines = 0;      // usable engines
+    std::size_t briefEngines = 0; // size of the group for brief requests
+    std::size_t briefs = 0;       // brief requests in progress
+    double longDemand = 0;        // see PassRequest
+    double waitingSeconds = 0;    // prefill ahead: of the choice, or the long group's average
 };
 
+// The engines selected for a request, and the predicted times.
 struct PassChoice
 {
-    state::EndpointId engine; // answers, and prefills the first part
+    state::EndpointId engine; // answers and prefills the first part
     std::vector<state::EndpointId> helpers;
-    std::vector<MemoryShare> memory; // at the first of the helpers, in their order
-    double partSeconds = 0;          // prefill at each of them
-    double waitingSeconds = 0;       // prefill that is there already, where it takes longest
+    std::vector<MemoryShare> memory; // at the first helpers, in the order of `helpers`
+    double partSeconds = 0;          // prefill of the prompt at each engine
+    double waitingSeconds = 0;       // longest wait for earlier prefill at any of the engines
     double firstEventSeconds = 0;    // from now, as predicted
     double completionSeconds = 0;    // from now, as predicted
     PassLook look;
 };
 
-// What a long prompt that arrives now has to expect, before any that waits at the entries.
+// Estimate for a long prompt that arrives now, ahead of the prompts that wait at the entries.
 struct LongOutlook
 {
-    std::size_t engines = 0;      // for long requests; 0: none is usable
-    double backlogSeconds = 0;    // of each of them, on average
-    double prefillSeconds = 0;    // of the prompt, alone on all of them that may take part
+    std::size_t engines = 0;      // in the group for long requests; 0: none is usable
+    double backlogSeconds = 0;    // waiting prefill per engine, on average
+    double prefillSeconds = 0;    // until the first event, with all permitted helpers idle
     double completionSeconds = 0; // from the first event to the last
-    double engineSeconds = 0;     // for the whole prefill, on one engine
+    double engineSeconds = 0;     // of the whole prefill on one engine
     PassLook look;
 };
 
-// What the border between brief and long requests follows.
+// Load that determines how many engines are reserved for brief requests.
 struct BriefLoad
 {
-    std::size_t engines = 0; // usable ones
+    std::size_t engines = 0; // usable engines
     std::size_t places = 0;  // requests that one engine answers at once
-    std::size_t briefs = 0;  // that are being answered
+    std::size_t briefs = 0;  // brief requests in progress
     double longDemand = 0;   // see PassRequest
 };
 
-// Engines that are for brief requests.
+// Returns the number of engines reserved for brief requests.
 std::size_t briefEngines(const BriefLoad &load, const PassPlacementSettings &settings);
 
-// Whether the prompt goes whole to one engine, beside others that decode there.
+// Returns whether the prompt is prefilled whole on one engine, next to requests that decode there.
 bool isBrief(const state::routes::EngineProfile &profile, std::uint32_t promptTokens,
              const PassPlacementSettings &settings);
 
-// `engines`: those of the request's model in the order that all entries share, advanced to now,
-// each with a profile. Nothing if it has to wait: no engine has a place and the memory, or, for a
-// long prompt, too few are free for it to start.
+// Selects engines for the request. `engines` are those of its model in the order that all entries
+// share, advanced to now, each with a profile. Returns nullopt if the request has to wait: no
+// engine has a free slot and enough memory, or too few engines are free for a long prompt to start.
 std::optional<PassChoice> placeByPasses(const std::vector<const EngineView *> &engines,
                                         const PassRequest &request,
                                         const PassPlacementSettings &settings);
 
+// Estimates the times of a long prompt; `engines` as for placeByPasses().
 LongOutlook longOutlook(const std::vector<const EngineView *> &engines, const PassRequest &request,
                         const PassPlacementSettings &settings);
 
--- a/src/coordination/routing/PassPlacementSettings.h
+++ b/src/coordination/routing/PassPlacementSettings.h
@@ -1,4 +1,4 @@
-// The weights of placing on engines that work in passes.
+// Limits and cost weights of placement on engines that work in passes.
 #pragma once
 
 #include <compare>
@@ -8,71 +8,73 @@
 
 struct PassPlacementSettings
 {
-    // Prefill up to this long counts as brief and is packed. Once callers have said which pauses
-    // they bear, it is this share of the tightest of them: what is longer would break the pauses of
-    // those who decode beside it.
+    // A request whose prefill takes at most this long is brief and shares an engine with others.
+    // Once callers have stated the pauses that they accept, the limit is briefPauseShare of the
+    // tightest one: longer prefill would exceed the pauses of requests that decode beside it.
     double briefSeconds = 0.1;
     double briefPauseShare = 0.6;
-    // Share of an engine's places that brief requests are meant to take: entries place at the same
-    // moment by notes that are some milliseconds old, and who finds all places taken waits for a
-    // second or more. Where long work needs the engines, up to the second share.
+    // Target share of an engine's slots for brief requests. Entries place concurrently, on work
+    // notes that are some milliseconds old, and a request that finds all slots taken waits for a
+    // second or more. The second share applies when long requests need the engines.
     double briefPlaceShare = 0.69;
     double briefPlaceShareCrowded = 0.81;
-    // Share of the time to the first event that the engines for brief requests may need before
-    // other engines are considered too.
+    // Share of the requested time to the first event. If the brief group would need longer, all
+    // engines are considered.
     double briefBusyShare = 0.8;
-    // Engines whose crowding differs by less are taken for equal, and one of them is drawn: else
-    // all entries that place at the same moment choose the same one.
+    // Engines whose load differs by at most this much count as equal, and one is drawn at random.
+    // Otherwise all entries that place at the same moment choose the same engine.
     double evenSeconds = 0.05;
-    // Long work that one engine of its part is meant to do in a second, and engines beside.
+    // Target of long prefill per engine of the long group, in seconds per second, and the number
+    // of engines that are added to the result.
     double longSecondsPerEngine = 0.6;
     double longEnginesBeside = 2;
-    // How fast the demand of long work is forgotten: load swings within seconds.
+    // Time constant of the average of long demand; short, as load changes within seconds.
     double demandMemorySeconds = 1.5;
-    // Cost of one more helper, as time to the first token: each one stalls whoever decodes there,
-    // and one more engine must stay alive.
+    // Cost of each helper, as time to the first token: it stalls the requests that decode there,
+    // and one more engine has to stay alive.
     double helperSeconds = 0.008;
-    std::size_t mostHelpers = 16; // bound of the engines' interface
-    // Cost of prefilling long where requests with tight pauses decode, as time to the first token.
+    std::size_t mostHelpers = 16; // limit of the engine API
+    // Cost of long prefill on an engine that decodes for requests with tight pauses, as time to the
+    // first token.
     double besideTightSeconds = 0.5;
-    // Engines whose requests have tight pauses take parts up to this long, which fit into a pass of
-    // theirs; a longer one would make some ten callers' answers late for the sake of one.
+    // Longest part, in seconds, on engines whose requests have tight pauses; it fits into one of
+    // their passes. A longer part would delay the answers of some ten callers for one prompt.
     double besideTightPart = 0.1;
-    // Up to so many such requests are too few to count.
+    // Up to this number of requests with tight pauses on an engine is too small to matter.
     double fewBriefs = 2;
-    // An engine that decodes takes a part in only when its pass is over, and gives it back when the
-    // next one is.
+    // Passes that a part is delayed by on a decoding engine: it is admitted when the current pass
+    // ends and is returned when the next one ends.
     double besideDecodingPasses = 1.5;
-    // Of answering where no long answers gather.
+    // Cost, in seconds, of answering a long request outside the group of answering engines.
     double outsideAnsweringSeconds = 0.4;
-    double answeringMemoryShare = 0.8; // of an answering engine's memory that is meant to be used
-    // A long prompt starts when this share of the engines for long work, or as many as pay, have
-    // less than so much prefill waiting: they are kept busy by one prompt after the other, and not
-    // by several at once.
+    double answeringMemoryShare = 0.8; // target share of an answering engine's memory
+    // A long prompt starts when this share of the long group, or as many engines as are worth their
+    // cost, have at most startWaitingSeconds of prefill waiting. The engines thus work on one
+    // prompt after the other and not on several at once.
     double startShare = 0.8;
-    // It also starts as soon as its parts would take no more than this share of the time to its
-    // first event as asked.
+    // It also starts once its parts would take at most this share of the requested time to the
+    // first event.
     double startPartShare = 0.15;
     double startWaitingSeconds = 0.06;
-    std::size_t partsPerHelper = 2;      // not known to be done
-    double startOwnWaitingSeconds = 0.1; // the same, of the engine that answers
-    // A long prompt is turned away when it would wait longer for its start than this share of the
-    // time to the first token as asked.
+    std::size_t partsPerHelper = 2;      // parts that are not known to be done
+    double startOwnWaitingSeconds = 0.1; // limit of the answering engine's own waiting prefill
+    // A long prompt is refused when it would wait for its start longer than this share of the
+    // requested time to the first token.
     double waitingShare = 0.6;
-    // Of the pauses that callers of the model bear, until they have said which; pauses below so
-    // many times it are tight.
+    // Tightest pause that callers of the model accept; a default until they state one. A pause is
+    // tight if it is below tightPauseFactor times this value.
     double tightestPauseSeconds = 0.2;
     double tightPauses = 1.5;
-    // Prompts larger than an engine's memory keep the rest at helpers: the share of an engine's
-    // free memory that one prompt may take there, and how many helpers hold some.
+    // A prompt larger than an engine's memory keeps the rest at helpers: the share of an engine's
+    // free memory that one such prompt may take, and the largest number of helpers that hold some.
     double memoryShare = 0.8;
     std::size_t mostMemoryHelpers = 6;
-    // Long requests that one engine is meant to answer at once: each makes the passes of the others
-    // longer by its context.
+    // Target number of long requests that one engine answers at once: the context of each one
+    // lengthens the passes of the others.
     double longPerEngine = 4;
-    // An engine for brief requests answers so many of them too, if its passes, with the prompt's
-    // part and its context, stay under this share of the tightest pause: they run for the brief
-    // answers anyway, and one engine less is kept from prefilling.
+    // An engine of the brief group also answers up to this number of long requests if its passes,
+    // with the prompt's part and context, take at most briefEnginePauseShare of the tightest pause.
+    // Its passes run for the brief requests anyway, and one more engine remains free to prefill.
     double longsBesideBriefs = 1;
     double besideBriefPauseShare = 0.7;
 
@@ -80,7 +82,7 @@
     {
         return pauseSeconds < this->tightPauses * this->tightestPauseSeconds;
     }
-    // What follows from the tightest pause that callers of the model bear.
+    // Returns the settings adapted to the tightest pause that callers of the model accept.
     PassPlacementSettings withTightestPause(double seconds) const
     {
         PassPlacementSettings adapted = *this;
--- a/tests/coordination/routing/FleetTest.cpp
+++ b/tests/coordination/routing/FleetTest.cpp
@@ -1,4 +1,5 @@
-// Choice of engines: work sent since the last report, failure domains, draining, split by length.
+// Tests the choice of engines: work sent since the last report, failure domains, draining, and the
+// split by prompt length.
 #include "coordination/routing/Fleet.h"
 
 #include <cppunit/TestFixture.h>
@@ -12,13 +13,13 @@
 {
     CPPUNIT_TEST_SUITE(FleetTest);
     CPPUNIT_TEST(ownWorkCountsBeforeAnyReport);
-    CPPUNIT_TEST(workOfADeadPeerIsForgotten);
-    CPPUNIT_TEST(aHelperKeepsWhatItHoldsUntilTheEnd);
-    CPPUNIT_TEST(aPartIsForgottenAsItsEndIsTold);
-    CPPUNIT_TEST(lostDomainComesLast);
-    CPPUNIT_TEST(drainingEngineGetsNothing);
-    CPPUNIT_TEST(shortAndLongPromptsKeepApart);
-    CPPUNIT_TEST(watchesABoundedSubset);
+    CPPUNIT_TEST(workOfFailedPeerExpires);
+    CPPUNIT_TEST(helperKeepsMemoryUntilAnswerEnds);
+    CPPUNIT_TEST(partIsRemovedAtItsDeadline);
+    CPPUNIT_TEST(avoidedDomainIsLastChoice);
+    CPPUNIT_TEST(drainingEngineGetsNoWork);
+    CPPUNIT_TEST(shortAndLongPromptsUseSeparateEngines);
+    CPPUNIT_TEST(watchesBoundedSubset);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr state::Duration lifetime = std::chrono::seconds(20);
@@ -69,9 +70,9 @@
 public:
     void ownWorkCountsBeforeAnyReport()
     {
-        // Two callers' prompts arrive between two load reports.
-        // Both see the same idle engine in the last report; sent there both, the second one waits
-        // for the first. What this entry sent since the report counts, so they part.
+        // Two prompts arrive between two load reports. Both see the same idle engine in the last
+        // report, and the second would wait for the first there. Work that this entry sent since
+        // the report counts, so the second goes to another engine.
         Fleet fleet = fleetOf(6);
         const auto first = fleet.choose(queryOf(3'000), this->start);
         fleet.find(first->engine)->apply(noteOf(first->engine, 3'000), this->start);
@@ -79,10 +80,11 @@
         CPPUNIT_ASSERT(first->engine != second->engine);
     }
 
-    void workOfADeadPeerIsForgotten()
+    void workOfFailedPeerExpires()
     {
-        // A peer entry sends work to an engine and dies; nobody tells the end of that work.
-        // Past its deadline nobody waits for it, and the engine is offered to callers again.
+        // A peer entry sends work to an engine and fails, so the end of that work is never
+        // reported. No caller waits for it after its deadline, and the engine accepts requests
+        // again.
         Fleet fleet = fleetOf(1);
         const state::EndpointId engine("engine-0");
         fleet.find(engine)->apply(noteOf(engine, 390'000), this->start);
@@ -91,10 +93,10 @@
         CPPUNIT_ASSERT(fleet.choose(queryOf(20'000), this->start + lifetime));
     }
 
-    void aHelperKeepsWhatItHoldsUntilTheEnd()
+    void helperKeepsMemoryUntilAnswerEnds()
     {
         // A prompt of 390,000 tokens is prefilled by two engines, and one of them holds memory for
-        // it. With the first token the other is free again; the holder is when the answer ends.
+        // it. The first token frees the other engine; the holder is freed when the answer ends.
         Fleet fleet = fleetOf(2);
         EngineView &holder = *fleet.find(state::EndpointId("engine-0"));
         EngineView &other = *fleet.find(state::EndpointId("engine-1"));
@@ -109,10 +111,11 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(0), holder.residents().size());
     }
 
-    void aPartIsForgottenAsItsEndIsTold()
+    void partIsRemovedAtItsDeadline()
     {
-        // The end of a request is told in the moment of its deadline, in which its part expires
-        // too. The part was looked up before it expired; the entry crashed.
+        // Guards against a crash of the entry: the end of a request is reported at the moment of
+        // its deadline, at which its part expires too, and the part was looked up before it
+        // expired.
         Fleet fleet = fleetOf(1);
         EngineView &helper = *fleet.find(state::EndpointId("engine-0"));
         const WorkNote note = noteOf(state::EndpointId("engine-9"), 390'000);
@@ -121,7 +124,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(0), helper.residents().size());
     }
 
-    void lostDomainComesLast()
+    void avoidedDomainIsLastChoice()
     {
         Fleet fleet = fleetOf(8);
         ChoiceQuery query = queryOf(3'000);
@@ -135,16 +138,16 @@
         CPPUNIT_ASSERT(alone.choose(query, this->start).has_value());
     }
 
-    void drainingEngineGetsNothing()
+    void drainingEngineGetsNoWork()
     {
         Fleet fleet = fleetOf(1);
         fleet.find(state::EndpointId("engine-0"))->draining = true;
         CPPUNIT_ASSERT(!fleet.choose(queryOf(3'000), this->start));
     }
 
-    void shortAndLongPromptsKeepApart()
+    void shortAndLongPromptsUseSeparateEngines()
     {
-        constexpr std::uint32_t settled = 10; // rounds after which the split knows the demand
+        constexpr std::uint32_t settled = 10; // rounds until the split reflects the demand
         Fleet fleet = fleetOf(10);
         std::set<state::EndpointId> shorts;
         std::set<state::EndpointId> longs;
@@ -164,7 +167,7 @@
         CPPUNIT_ASSERT(longs.size() > shorts.size());
     }
 
-    void watchesABoundedSubset()
+    void watchesBoundedSubset()
     {
         PolicySettings policy;
         policy.watchedEngines = 8;
--- a/tests/coordination/routing/PassPlacementTest.cpp
+++ b/tests/coordination/routing/PassPlacementTest.cpp
@@ -1,4 +1,4 @@
-// Placing on engines that work in passes, one decision at a time.
+// Tests single placement decisions on engines that work in passes.
 #include "coordination/routing/PassPlacement.h"
 
 #include <cppunit/TestFixture.h>
@@ -11,11 +11,11 @@
 class PassPlacementTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(PassPlacementTest);
-    CPPUNIT_TEST(partsFitThePausesOfThoseWhoDecodeThere);
+    CPPUNIT_TEST(partsFitPausesOfDecodingRequests);
     CPPUNIT_TEST(idleEnginesTakeLongParts);
-    CPPUNIT_TEST(briefRequestsLeaveABusyPart);
+    CPPUNIT_TEST(briefRequestsLeaveBusyGroup);
     CPPUNIT_TEST(longPromptStartsBesideBusyEngines);
-    CPPUNIT_TEST(longAnswersJoinBriefOnes);
+    CPPUNIT_TEST(longRequestsJoinBriefOnes);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr std::size_t engines = 8;
@@ -25,21 +25,21 @@
 
     static state::routes::EngineProfile profile()
     {
-        state::routes::EngineProfile made;
-        made.slots = 16;
-        made.kvCapacityTokens = 450'000;
-        made.stridePerPass = 46;
-        made.stepMs = 0.925;
-        made.sequenceStepMs = 0.00483;
-        made.contextStepMs = 0.00254;
-        made.prefillTokensPerSecond = 256'000;
-        made.pairsMs = 0.0917;
-        made.stepTokens = 2'048;
-        return made;
+        state::routes::EngineProfile result;
+        result.slots = 16;
+        result.kvCapacityTokens = 450'000;
+        result.stridePerPass = 46;
+        result.stepMs = 0.925;
+        result.sequenceStepMs = 0.00483;
+        result.contextStepMs = 0.00254;
+        result.prefillTokensPerSecond = 256'000;
+        result.pairsMs = 0.0917;
+        result.stepTokens = 2'048;
+        return result;
     }
 
-    // The caller of one answer there bears pauses of half a second.
-    void decodeSummary(EngineView &view, std::uint64_t work) const
+    // Adds a decoding request whose caller accepts pauses of half a second.
+    void addDecodingSummary(EngineView &view, std::uint64_t work) const
     {
         WorkNote note;
         note.work = work;
@@ -52,8 +52,8 @@
         view.apply(note, this->start);
     }
 
-    // So much prefill of a brief request waits there.
-    void prefillBrief(EngineView &view, std::uint64_t work, std::uint32_t tokens) const
+    // Adds a brief request with this many prompt tokens that wait for prefill.
+    void addBriefPrefill(EngineView &view, std::uint64_t work, std::uint32_t tokens) const
     {
         WorkNote note;
         note.work = work;
@@ -92,13 +92,13 @@
         }
     }
 
-    void partsFitThePausesOfThoseWhoDecodeThere()
+    void partsFitPausesOfDecodingRequests()
     {
-        // A burst of brief requests has left eight engines for long ones, and each decodes a
-        // summary. A review of 400,000 tokens comes, 9 s of prefill. In parts of more than a second
-        // all summaries used to pause that long, some callers left, and their answers were lost.
+        // Eight engines remain for long requests after a burst of brief ones, and each decodes a
+        // summary. A review of 400,000 tokens arrives, 9 s of prefill. Parts of more than a second
+        // used to pause all summaries that long; some callers left and their answers were lost.
         for (std::size_t index = 0; index < engines; ++index)
-            decodeSummary(*this->views[index], index + 1);
+            addDecodingSummary(*this->views[index], index + 1);
         CPPUNIT_ASSERT(!this->place(400'000));
         const auto shorter = this->place(150'000);
         CPPUNIT_ASSERT(shorter.has_value());
@@ -108,51 +108,51 @@
 
     void idleEnginesTakeLongParts()
     {
-        // Nobody decodes there, so nobody sees a pause.
+        // No request decodes on the engines, so no caller sees a pause.
         const auto choice = this->place(400'000);
         CPPUNIT_ASSERT(choice.has_value());
         CPPUNIT_ASSERT(choice->partSeconds > 1);
     }
 
-    // Guards against a herd: callers who come at one moment all met on the one engine that the few
-    // answers in progress had earned brief requests, beside seven idle ones.
-    void briefRequestsLeaveABusyPart()
+    // Guards against a herd: the few requests in progress left brief requests a group of one
+    // engine, and callers arriving at the same moment all went there, beside seven idle engines.
+    void briefRequestsLeaveBusyGroup()
     {
         for (std::uint64_t work = 1; work <= 3; ++work)
-            prefillBrief(*this->views[0], work, 20'000);
+            addBriefPrefill(*this->views[0], work, 20'000);
         const auto choice = this->place(5'000, 0.3);
         CPPUNIT_ASSERT(choice.has_value());
         CPPUNIT_ASSERT(choice->engine != this->views[0]->description().id);
         CPPUNIT_ASSERT(choice->firstEventSeconds < 0.3);
     }
 
-    // Guards against idle engines while prompts wait: one started only when four in five engines
-    // were free, however short its parts would have been on fewer.
+    // Guards against engines that idle while prompts wait: a prompt started only when four in five
+    // engines were free, however short its parts would have been on fewer.
     void longPromptStartsBesideBusyEngines()
     {
         for (std::size_t index = 1; index < 5; ++index)
-            prefillBrief(*this->views[index], index, 40'000);
+            addBriefPrefill(*this->views[index], index, 40'000);
         const auto choice = this->place(45'000, 1.5);
         CPPUNIT_ASSERT(choice.has_value());
         CPPUNIT_ASSERT(choice->firstEventSeconds < 0.5);
     }
 
-    // Guards against engines that decode for one long answer each, in passes as long as those of
-    // ten, while the prefill of other prompts waits.
-    void longAnswersJoinBriefOnes()
+    // Guards against engines that each decode a single long answer, in passes as long as for ten
+    // answers, while the prefill of other prompts waits.
+    void longRequestsJoinBriefOnes()
     {
         for (std::uint64_t work = 1; work <= 4; ++work) {
-            prefillBrief(*this->views[0], work, 5'000);
-            WorkNote decodes;
-            decodes.work = work;
-            decodes.stage = WorkStage::Decoding;
-            this->views[0]->apply(decodes, this->start);
+            addBriefPrefill(*this->views[0], work, 5'000);
+            WorkNote decoding;
+            decoding.work = work;
+            decoding.stage = WorkStage::Decoding;
+            this->views[0]->apply(decoding, this->start);
         }
         const PassPlacementSettings settings = PassPlacementSettings().withTightestPause(0.2);
         const auto fits = this->place(60'000, 1.5, settings);
         CPPUNIT_ASSERT(fits.has_value());
         CPPUNIT_ASSERT(fits->engine == this->views[0]->description().id);
-        // Its parts alone are longer than the pauses that the brief ones' callers bear.
+        // Its parts alone exceed the pauses that the callers of the brief requests accept.
         const auto huge = this->place(300'000, 1.5, settings);
         CPPUNIT_ASSERT(huge.has_value());
         CPPUNIT_ASSERT(huge->engine != this->views[0]->description().id);
