--- a/src/coordination/routing/EndpointHealth.cpp
+++ b/src/coordination/routing/EndpointHealth.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr state::Duration forgottenAfter = std::chrono::seconds(60);
+constexpr state::Duration inactivityLimit = std::chrono::seconds(60);
 
 double toSeconds(state::Duration duration)
 {
@@ -17,47 +17,48 @@
 } // namespace
 
 bool EndpointHealth::note(const state::EndpointId &id, std::uint64_t incarnation,
-                          AttemptHealth health, state::Instant now)
+                          AttemptHealth outcome, state::Instant now)
 {
-    Seen &seen = this->endpoints[id];
-    if (incarnation < seen.incarnation)
-        return false; // of its former life
-    if (incarnation > seen.incarnation)
-        seen = Seen{incarnation, 0, 0, now, {}, this->settings.firstSuspicion};
-    this->decay(seen, now);
-    if (health == AttemptHealth::Served) {
-        seen.served += 1;
-        // A success after a suspicion is over ends the doubling, not one that was under way before.
-        if (now >= seen.suspectUntil)
-            seen.nextSuspicion = this->settings.firstSuspicion;
+    Seen &recent = this->endpoints[id];
+    if (incarnation < recent.incarnation)
+        return false; // the endpoint has restarted since
+    if (incarnation > recent.incarnation)
+        recent = Seen{incarnation, 0, 0, now, {}, this->settings.firstSuspicion};
+    this->decay(recent, now);
+    if (outcome == AttemptHealth::Served) {
+        recent.served += 1;
+        // Only a success after the suspicion has ended resets its duration, since an attempt may
+        // have started before the suspicion.
+        if (now >= recent.suspectUntil)
+            recent.nextSuspicion = this->settings.firstSuspicion;
         return false;
     }
-    seen.failed += 1;
-    const bool wasSuspect = now < seen.suspectUntil;
-    const double share = seen.failed / (seen.failed + seen.served);
-    const bool often =
-            seen.failed >= this->settings.failures && share >= this->settings.failureShare;
-    if (wasSuspect || (health != AttemptHealth::Unreachable && !often))
+    recent.failed += 1;
+    const bool wasSuspect = now < recent.suspectUntil;
+    const double share = recent.failed / (recent.failed + recent.served);
+    const bool exceedsThresholds =
+            recent.failed >= this->settings.failures && share >= this->settings.failureShare;
+    if (wasSuspect || (outcome != AttemptHealth::Unreachable && !exceedsThresholds))
         return false;
-    this->suspect(seen, now);
+    this->suspect(recent, now);
     return true;
 }
 
-void EndpointHealth::suspect(Seen &seen, state::Instant now) const
+void EndpointHealth::suspect(Seen &recent, state::Instant now) const
 {
-    seen.suspectUntil = now + seen.nextSuspicion;
-    seen.nextSuspicion = std::min(seen.nextSuspicion * 2, this->settings.longestSuspicion);
-    // The next judgement rests on what is tried after the suspicion.
-    seen.failed = 0;
-    seen.served = 0;
+    recent.suspectUntil = now + recent.nextSuspicion;
+    recent.nextSuspicion = std::min(recent.nextSuspicion * 2, this->settings.longestSuspicion);
+    // The next decision counts only the attempts after this suspicion began.
+    recent.failed = 0;
+    recent.served = 0;
 }
 
-void EndpointHealth::decay(Seen &seen, state::Instant now) const
+void EndpointHealth::decay(Seen &recent, state::Instant now) const
 {
-    const double kept = std::exp2(-toSeconds(now - seen.at) / toSeconds(this->settings.memory));
-    seen.failed *= kept;
-    seen.served *= kept;
-    seen.at = now;
+    const double kept = std::exp2(-toSeconds(now - recent.at) / toSeconds(this->settings.memory));
+    recent.failed *= kept;
+    recent.served *= kept;
+    recent.at = now;
 }
 
 bool EndpointHealth::isSuspect(const state::EndpointId &id, std::uint64_t incarnation,
@@ -71,7 +72,7 @@
 void EndpointHealth::forget(state::Instant now)
 {
     std::erase_if(this->endpoints,
-                  [now](const auto &each) { return now - each.second.at >= forgottenAfter; });
+                  [now](const auto &each) { return now - each.second.at >= inactivityLimit; });
 }
 
 } // namespace lavenderthread::coordination::routing
--- a/src/coordination/routing/EngineKey.h
+++ b/src/coordination/routing/EngineKey.h
@@ -1,4 +1,4 @@
-// Short name of an engine in the news that entries send each other.
+// Compact engine identifier for the messages between entries.
 #pragma once
 
 #include "state/Ids.h"
@@ -10,9 +10,9 @@
 
 namespace lavenderthread::coordination::routing {
 
-// Hash of its id: a note that names 17 engines goes to each peer of a large fleet, and ids would
-// make up three quarters of it. Two engines share a key in one of some 8,000 fleets of 1,000; what
-// goes to either of them then counts at one, which costs speed only.
+// Hash of the endpoint id. A work note that names 17 engines goes to each peer of a large fleet,
+// and full ids would be three quarters of its size. In about one of 8,000 fleets with 1,000 engines
+// two of them share a key; the work of both then counts at one, which costs only speed.
 struct EngineKey
 {
     std::uint32_t value = 0; // 0: none
--- a/src/coordination/routing/EngineView.cpp
+++ b/src/coordination/routing/EngineView.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr double fallbackPrefillRate = 1'000; // tokens per second of an engine that names none
-constexpr double fallbackDecodeRate = 20;
+constexpr double fallbackPrefillRate = 1'000; // tokens per second, if none is announced
+constexpr double fallbackDecodeRate = 20;     // tokens per second and request
 
 double toSeconds(state::Duration duration)
 {
@@ -73,37 +73,39 @@
     this->work.insert(place, resident);
 }
 
-// Prefilled ahead of what waits there, whatever its priority.
+// The engine prefills helper work before the requests that wait there, whatever the priority.
 void EngineView::help(const WorkNote &note, std::uint32_t memoryTokens, state::Instant now)
 {
     this->advance(now);
     std::erase_if(this->work, [&](const Resident &each) { return each.work == note.work; });
-    Resident part;
-    part.work = note.work;
-    part.prefillLeft = double(note.prefillTokens);
-    part.memoryTokens = memoryTokens;
-    part.expires = now + note.lifetime;
-    part.helping = true;
-    this->insert(part);
-}
-
-// A helper without reserved memory keeps nothing of the prompt: its part is over with the first
-// token.
-void EngineView::helpOver(std::uint64_t over, WorkStage stage, state::Instant now)
-{
-    const auto isPart = [over](const Resident &each) { return each.work == over && each.helping; };
-    if (std::ranges::none_of(this->work, isPart))
+    Resident helperWork;
+    helperWork.work = note.work;
+    helperWork.prefillLeft = double(note.prefillTokens);
+    helperWork.memoryTokens = memoryTokens;
+    helperWork.expires = now + note.lifetime;
+    helperWork.helping = true;
+    this->insert(helperWork);
+}
+
+// A helper without reserved memory keeps nothing of the prompt, so its work is over when the first
+// token arrives.
+void EngineView::helpOver(std::uint64_t requestHash, WorkStage stage, state::Instant now)
+{
+    const auto matches = [requestHash](const Resident &each) {
+        return each.work == requestHash && each.helping;
+    };
+    if (std::ranges::none_of(this->work, matches))
         return;
-    this->advance(now); // may drop it, when its request's deadline has come
-    const auto part = std::ranges::find_if(this->work, isPart);
-    if (part == this->work.end())
+    this->advance(now); // drops it if the request's deadline has passed
+    const auto helperWork = std::ranges::find_if(this->work, matches);
+    if (helperWork == this->work.end())
         return;
-    if (stage == WorkStage::Ended || part->memoryTokens == 0) {
-        this->work.erase(part);
+    if (stage == WorkStage::Ended || helperWork->memoryTokens == 0) {
+        this->work.erase(helperWork);
         return;
     }
-    part->prefillLeft = 0;
-    part->decoding = true;
+    helperWork->prefillLeft = 0;
+    helperWork->decoding = true;
 }
 
 void EngineView::apply(const state::LoadReport &report, state::Instant now)
@@ -115,8 +117,8 @@
     double known = 0;
     for (const Resident &resident : this->work)
         known += resident.prefillLeft;
-    // A report is late: work that has been done since still stands in it. Without the slack an
-    // engine would look busy for work that is over, and entries would avoid the idle ones.
+    // A report arrives late and still counts work that was completed since. Without the slack an
+    // idle engine would look busy with completed work, and entries would avoid it.
     this->unknownPrefill =
             std::max(0.0, double(report.waitingPrefillTokens) - known - this->reportSlackTokens);
     this->reportedMemory = report.kvUsedTokens;
@@ -152,8 +154,8 @@
     this->dropExpired(now);
 }
 
-// The share of its time that an engine prefills while it also decodes: each pass has both, and
-// takes in what waits when it begins, up to so much prefill.
+// Under continuous batching each pass decodes and also prefills what waits when the pass begins, up
+// to a limit.
 double EngineView::prefillSpeed() const
 {
     if (!this->declared)
@@ -168,17 +170,17 @@
     }
     if (decoding == 0)
         return 1;
-    constexpr double leastPrefill =
-            0.1;                        // seconds of a pass, so that a trickle does not stand still
-    constexpr double mostPrefill = 0.8; // what fits one pass, with the pairs of a long prompt
-    const double prefill = std::clamp(this->prefillSecondsLeft(), leastPrefill, mostPrefill);
+    constexpr double minimumPrefill = 0.1; // seconds per pass, so that little prefill progresses
+    constexpr double maximumPrefill = 0.8; // that fit a pass, with a long prompt's attention
+    const double prefill = std::clamp(this->prefillSecondsLeft(), minimumPrefill, maximumPrefill);
     const double decode = state::routes::decodePassSeconds(*this->declared, decoding, context);
     return prefill / (prefill + decode);
 }
 
 void EngineView::dropExpired(state::Instant now)
 {
-    // A peer that died sends no end of its work; past the deadline nobody waits for it any more.
+    // A peer that crashed never sends the end of its work. After the deadline nobody waits for
+    // the result.
     std::erase_if(this->work, [now](const Resident &resident) { return resident.expires <= now; });
 }
 
--- a/src/coordination/routing/EngineView.h
+++ b/src/coordination/routing/EngineView.h
@@ -1,5 +1,5 @@
-// One engine as an entry sees it: its description, its last report, the work that this entry and
-// its peers sent there, and its prefix cache.
+// State of one engine as an entry estimates it: description, last load report, requests that this
+// entry and its peers dispatched to it, and the contents of its prefix cache.
 #pragma once
 
 #include "coordination/routing/PolicySettings.h"
@@ -16,22 +16,24 @@
 
 namespace lavenderthread::coordination::routing {
 
-// Work believed to be on an engine.
+// A request, or a helper's share of one, that is believed to be on an engine.
 struct Resident
 {
     std::uint64_t work = 0;
     std::uint8_t priority = 0;
-    double prefillLeft = 0; // tokens, by estimate
-    double outputLeft = 0;  // tokens, by estimate
+    double prefillLeft = 0; // estimated tokens
+    double outputLeft = 0;  // estimated tokens
     std::uint32_t promptTokens = 0;
     std::uint32_t outputTokens = 0;
     std::uint32_t memoryTokens = 0;
     bool decoding = false;
     state::Instant expires;
-    double pauseSeconds = 0; // that its caller bears between two events; 0: not known
-    bool helping = false;    // only a part of its prompt is prefilled here, for another engine
+    double pauseSeconds = 0; // longest gap between two events that the caller tolerates; 0: unknown
+    bool helping = false;    // this engine prefills only a part of the prompt, for another engine
 };
 
+// Tracks the work on an engine from work notes and load reports, and estimates how long new work
+// would wait there. Between two updates the estimated work proceeds at the announced rates.
 class EngineView
 {
 public:
@@ -42,33 +44,35 @@
     PrefixIndex &prefixes() { return this->prefixIndex; }
     std::span<const Resident> residents() const { return this->work; }
 
+    // Replaces the description. A newer incarnation discards the work and the prefix cache.
     void announce(state::EndpointDescription announced);
-    // How this engine works, where operators have declared it.
+    // Timing of the engine's passes, if operators have declared it.
     const std::optional<state::routes::EngineProfile> &profile() const { return this->declared; }
     void setProfile(std::optional<state::routes::EngineProfile> profile)
     {
         this->declared = profile;
     }
-    // The part of dispatched work that this engine, as one of its helpers, prefills, and the memory
-    // that it holds for it.
+    // Adds the part of a dispatched prompt that this engine prefills as a helper, and the memory
+    // that it reserves for it.
     void help(const WorkNote &note, std::uint32_t memoryTokens, state::Instant now);
-    // That work decodes, or has ended: what this engine prefilled for it, if it did, is over.
-    void helpOver(std::uint64_t work, WorkStage stage, state::Instant now);
+    // Completes the helper work for a request that decodes or has ended. No effect without any.
+    void helpOver(std::uint64_t requestHash, WorkStage stage, state::Instant now);
     void apply(const WorkNote &note, state::Instant now);
     void apply(const state::LoadReport &report, state::Instant now);
-    void advance(state::Instant now); // lets the estimated work proceed up to now
+    void advance(state::Instant now); // estimates the progress of the work up to now
 
     double prefillSeconds(double tokens) const;
-    // Prefill that goes before a newcomer of that priority, in seconds. Needs advance(now).
+    // Prefill that runs before a new request of that priority. Call advance(now) first.
     double secondsAhead(std::uint8_t priority) const;
-    double prefillSecondsLeft() const; // of all residents, as engine time
-    double prefillSpeed() const;       // engine time for prefill in a second, beside decoding
+    double prefillSecondsLeft() const; // of all work, as engine time
+    double prefillSpeed() const;       // of engine time, 0 to 1; decoding takes the rest
     double decodeStepSeconds() const;
-    std::uint64_t freeTokens() const;  // memory neither known nor reported as claimed
-    std::uint32_t outstanding() const; // requests, own and reported
+    // Memory that known work and, unless peers share work notes, the last report do not claim.
+    std::uint64_t freeTokens() const;
+    std::uint32_t outstanding() const; // requests in the last report and dispatched since
 
     bool draining = false;
-    bool suspected = false; // its attempts fail; it gets no new work for a while
+    bool suspected = false; // attempts on it fail; it gets no new work for a while
 
 private:
     void insert(Resident resident);
@@ -77,12 +81,12 @@
     state::EndpointDescription endpoint;
     std::optional<state::routes::EngineProfile> declared;
     PrefixIndex prefixIndex;
-    double reportSlackTokens; // known work older than a report may be this much
+    double reportSlackTokens; // completed prefill that a late report may still count
     bool peersShareWork;
     double slowdownBesidePrefill;
 
     std::vector<Resident> work; // ordered by priority, then by arrival
-    double unknownPrefill = 0;  // tokens reported beyond the known work; drains with time
+    double unknownPrefill = 0;  // tokens reported beyond the known work; decreases with time
     std::uint64_t reportedMemory = 0;
     std::uint32_t reportedRequests = 0;
     std::uint32_t dispatchedSinceReport = 0;
--- a/src/coordination/routing/PolicySettings.cpp
+++ b/src/coordination/routing/PolicySettings.cpp
@@ -25,7 +25,7 @@
     return settings;
 }
 
-// What a plain balancer does: nothing is held back, ordered, sliced or refused.
+// A plain load balancer, which neither queues, orders, slices nor refuses requests.
 PolicySettings baseline(std::string name, Placement placement)
 {
     PolicySettings settings;
@@ -48,7 +48,7 @@
     return settings;
 }
 
-std::vector<PolicySettings> all()
+std::vector<PolicySettings> allSettings()
 {
     return {
             timekeep(),
@@ -162,7 +162,7 @@
 state::Error outOfRange(const char *member)
 {
     return state::makeError(state::ErrorCode::InvalidArgument, "policy.settings",
-                            std::string(member) + " is out of its range");
+                            std::string(member) + " is out of range");
 }
 
 } // namespace
@@ -203,7 +203,7 @@
 
 state::Result<PolicySettings> PolicySettings::named(std::string_view name)
 {
-    for (PolicySettings &settings : all()) {
+    for (PolicySettings &settings : allSettings()) {
         if (settings.name == name)
             return std::move(settings);
     }
@@ -214,7 +214,7 @@
 std::vector<std::string> PolicySettings::names()
 {
     std::vector<std::string> result;
-    for (const PolicySettings &settings : all())
+    for (const PolicySettings &settings : allSettings())
         result.push_back(settings.name);
     return result;
 }
--- a/src/coordination/routing/PolicySettings.h
+++ b/src/coordination/routing/PolicySettings.h
@@ -1,4 +1,4 @@
-// Every knob of admission and routing in one value, and the named settings that benches compare.
+// Settings of admission and routing, and the named settings that the benchmarks compare.
 #pragma once
 
 #include "coordination/routing/PassPlacementSettings.h"
@@ -14,10 +14,10 @@
 namespace lavenderthread::coordination::routing {
 
 enum class Placement : std::uint8_t {
-    Predicted,        // least weighted sum of normalised delays, own and inflicted
+    Predicted,        // lowest weighted sum of normalised delays, own and of others
     RoundRobin,       // baseline
-    LeastOutstanding, // baseline: fewest requests, own ones and reported ones
-    PrefixAffinity,   // baseline: longest cached prefix, else the prompt's rendezvous engine
+    LeastOutstanding, // baseline: fewest requests, own and reported
+    PrefixAffinity,   // baseline: longest cached prefix, else rendezvous hash of the prompt
 };
 
 // Immutable. Token counts are tokens; weights and ratios have no unit.
@@ -26,7 +26,8 @@
     std::string name = "default";
     Placement placement = Placement::Predicted;
 
-    // What the users weigh. The two example settings differ in these two members only.
+    // Weights of the users' objectives. The settings timekeep and cascadia differ in these two
+    // members only.
     double shortSlowdownWeight = 1;
     double firstTokenWeight = 1;
 
@@ -36,29 +37,30 @@
     std::uint32_t longPromptTokens = 250'000;
 
     // Routing.
-    std::uint32_t watchedEngines = 24; // rendezvous subset that one entry routes to, per model
-    std::uint32_t sampledEngines = 0;  // power of that many choices; 0 compares the whole subset
-    bool shareWork = true;             // tell the peers that watch an engine what went there
+    std::uint32_t watchedEngines = 24; // engines an entry routes to per model (rendezvous hashing)
+    std::uint32_t sampledEngines = 0;  // power of d choices: random candidates; 0: all watched
+    bool shareWork = true;             // send work notes to the peers that watch the same engine
     bool useCacheEvents = true;
-    double doubtfulTrust = 0.5; // share of a doubtful cached prefix that prediction counts
+    double doubtfulTrust = 0.5; // share of a doubtful cached prefix that the prediction counts
     std::uint32_t prefixBlockTokens = 512;
-    std::uint32_t prefixIndexBlocks = 8'192; // bound on remembered blocks per engine
-    double prefillSlowsDecode = 3.4; // decode step beside prefill / decode step without, measured
-    std::uint32_t engineStepTokens = 1'024; // prefill tokens that an engine takes in one step
-    state::Duration reportSlack = std::chrono::milliseconds(500); // older work a report may hold
-
-    // Order of work.
-    bool priorities = true;             // short first inside engines, ageing by response ratio
-    std::uint32_t sliceTokens = 16'384; // longer prefills go in slices; 0 sends them whole
-    bool splitEngines = true; // short and longer prompts on engines of their own, by demand
-    bool holdInEntry = true;  // keep engine queues short, so that the order is decided here
-    state::Duration engineQueueLimit = std::chrono::milliseconds(400); // work ahead of a new one
-    std::uint8_t queuePriority = 3; // least priority at which longer prompts count that work
-    double fairBurstTokens = 5'000; // lead over its share that a flow of short work may take
+    std::uint32_t prefixIndexBlocks = 8'192; // blocks remembered per engine at most
+    double prefillSlowsDecode = 3.4;         // decode step time with prefill in the batch / without
+    std::uint32_t engineStepTokens = 1'024;  // prefill tokens per engine step
+    state::Duration reportSlack =
+            std::chrono::milliseconds(500); // done work a report may still count
+
+    // Scheduling order.
+    bool priorities = true; // engines serve short prompts first, with ageing by response ratio
+    std::uint32_t sliceTokens = 16'384; // longer prefills are sent in slices; 0 sends them whole
+    bool splitEngines = true; // separate engines for short and longer prompts, divided by demand
+    bool holdInEntry = true;  // keep engine queues short, so that the entry decides the order
+    state::Duration engineQueueLimit = std::chrono::milliseconds(400); // prefill ahead of a new one
+    std::uint8_t queuePriority = 3; // least priority value at which longer prompts count it
+    double fairBurstTokens = 5'000; // service that a flow of short work may get beyond its share
 
     // Admission.
     bool admitByDeadline = true;
-    double admissionMargin = 1.25;    // predicted time to completion is multiplied by it
+    double admissionMargin = 1.25;    // factor on the predicted completion time
     double expectedOutputShare = 0.6; // of maximumOutputTokens
     std::uint32_t queuedRequestsLimit = 4'096;
 
@@ -67,38 +69,39 @@
     double retryBurst = 20;
     std::uint32_t attemptsLimit = 4;
 
-    // Prompts over one engine's memory.
-    double spanMemoryShare = 0.98; // of an engine's memory that one prompt may claim
-    double spanPartShare = 0.4;    // of an engine's memory that one range takes at most
-    double spanSpareShare = 0.3;   // of an engine's memory that ranges leave free
-    double spanPatience = 0.8;     // wait / time alone, after which a span leaves less to others:
-    double spanLateSpareShare = 0.2;
-    std::uint32_t spanPartTokens = 50'000;  // least range; each range imports what precedes it
-    std::uint32_t spanFromTokens = 100'000; // such prompts may span when no engine has the room
-    double tightFitWeight = 0.2;    // cost of the memory that would stay free, as a share of all
-    std::uint32_t spanPriority = 4; // at most, once it holds the memory of several engines
+    // Spans: prompts that exceed one engine's memory and are split over several engines.
+    double spanMemoryShare = 0.98;   // of an engine's memory that one prompt may claim
+    double spanPartShare = 0.4;      // of an engine's memory that one part takes at most
+    double spanSpareShare = 0.3;     // of an engine's memory that parts leave free
+    double spanPatience = 0.8;       // wait / ideal time, above which spanLateSpareShare applies
+    double spanLateSpareShare = 0.2; // parts leave less memory free once the prompt waited long
+    std::uint32_t spanPartTokens = 50'000;  // smallest part; each part imports all that precedes it
+    std::uint32_t spanFromTokens = 100'000; // prompts this long may span when no engine has room
+    double tightFitWeight = 0.2;    // cost of memory left free, as a share of the engine's memory
+    std::uint32_t spanPriority = 4; // highest value once a span holds memory of several engines
     state::Duration reservationTtl = std::chrono::seconds(10);
     state::Duration reservationRetry = std::chrono::milliseconds(200);
 
     state::Duration backlogShareLife = std::chrono::milliseconds(300);
 
-    // Engines with a declared profile.
+    // Placement on engines with a declared profile.
     PassPlacementSettings passes;
-    // A request whose first answer is predicted later than this many times its target is refused:
-    // behind it, those who come next would be late too, and none would be served as asked.
+    // A request is refused if its first answer is predicted later than this many times its target:
+    // the requests queued behind it would be late too, and none would meet its target.
     double lateTolerance = 4;
-    bool budgetRefused = false; // tries after an engine's refusal take from the retry budget too
+    bool budgetRefused = false; // retries after an engine's refusal also use the retry budget
 
     auto operator<=>(const PolicySettings &) const = default;
 
     // Error: InvalidArgument, step "policy.settings", if a member is out of its range.
     static state::Result<PolicySettings> create(PolicySettings draft);
 
-    // A copy with one member changed, by its name in JSON (snake_case); durations are milliseconds
-    // with the suffix _ms, switches are 0 or 1. NotFound for a name that is none; no range check.
+    // Returns a copy with one member changed, given by its JSON name (snake_case). Durations are in
+    // milliseconds and have the suffix _ms; switches are 0 or 1. Error: NotFound for an unknown
+    // name. Ranges are not checked.
     state::Result<PolicySettings> with(std::string_view member, double value) const;
 
-    // A setting of the bench by its name; NotFound names the known ones.
+    // Returns the named benchmark settings. Error: NotFound for an unknown name.
     static state::Result<PolicySettings> named(std::string_view name);
     static std::vector<std::string> names();
 };
--- a/src/coordination/routing/Prediction.cpp
+++ b/src/coordination/routing/Prediction.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// Half an engine step: a newcomer arrives in the middle of the running one.
-double runningStepSeconds(const EngineView &engine, const PolicySettings &policy)
+// Mean time left of the running engine step, which a new request waits for: half a step.
+double remainingStepSeconds(const EngineView &engine, const PolicySettings &policy)
 {
     bool decodes = false;
     for (const Resident &resident : engine.residents()) {
@@ -18,7 +18,7 @@
     return decodes ? engine.decodeStepSeconds() / 2 : 0;
 }
 
-// Time that decoding of outputLeft tokens loses beside prefillSeconds of prefill.
+// Delay of decoding outputLeft tokens while the engine also runs prefillSeconds of prefill.
 double decodeDelay(const EngineView &engine, double outputLeft, double prefillSeconds,
                    const PolicySettings &policy)
 {
@@ -27,13 +27,13 @@
     return std::min(prefillSeconds * lostShare, decodeSeconds * (policy.prefillSlowsDecode - 1));
 }
 
-double aloneSeconds(const EngineView &engine, double promptTokens, double outputTokens)
+double idealCompletionSeconds(const EngineView &engine, double promptTokens, double outputTokens)
 {
     return idealFirstTokenSeconds(engine, promptTokens) + outputTokens * engine.decodeStepSeconds();
 }
 
-double inflictedCost(const EngineView &engine, const Prompt &prompt, double ownPrefillSeconds,
-                     const PolicySettings &policy)
+double costToOtherRequests(const EngineView &engine, const Prompt &prompt, double ownPrefillSeconds,
+                           const PolicySettings &policy)
 {
     double cost = 0;
     for (const Resident &resident : engine.residents()) {
@@ -41,7 +41,7 @@
             const double delay =
                     decodeDelay(engine, resident.outputLeft, ownPrefillSeconds, policy);
             cost += policy.shortSlowdownWeight * delay
-                    / aloneSeconds(engine, resident.promptTokens, resident.outputTokens);
+                    / idealCompletionSeconds(engine, resident.promptTokens, resident.outputTokens);
         }
         if (!resident.decoding && resident.prefillLeft > 0 && resident.priority > prompt.priority) {
             cost += policy.firstTokenWeight * ownPrefillSeconds
@@ -68,13 +68,14 @@
                      std::max(0.0, prompt.prefillTokens - 1.0));
     const double ownPrefill = engine.prefillSeconds(prompt.prefillTokens - result.cachedTokens);
     result.aheadSeconds = engine.secondsAhead(prompt.priority);
-    // Were the bound on engine queues taken at each prompt's own priority, the longer ones of the
-    // medium prompts would find every queue full, and rows that send them would lose their share.
+    // If the limit on engine queues applied at each prompt's own priority, the longer medium
+    // prompts would find every queue full, and the table rows that send them would lose their fair
+    // share.
     const bool isShort = prompt.promptTokens < policy.shortPromptTokens;
     result.queueSeconds =
             isShort ? result.aheadSeconds
                     : engine.secondsAhead(std::max(prompt.priority, policy.queuePriority));
-    result.firstTokenSeconds = 2 * transferSeconds + runningStepSeconds(engine, policy)
+    result.firstTokenSeconds = 2 * transferSeconds + remainingStepSeconds(engine, policy)
                                + result.aheadSeconds + ownPrefill;
 
     const double laterPrefill = engine.prefillSecondsLeft() - result.aheadSeconds;
@@ -84,12 +85,13 @@
 
     result.cost = policy.firstTokenWeight * result.firstTokenSeconds
                           / idealFirstTokenSeconds(engine, prompt.promptTokens)
-                  + inflictedCost(engine, prompt, ownPrefill, policy);
+                  + costToOtherRequests(engine, prompt, ownPrefill, policy);
     if (isShort) {
-        const double alone = aloneSeconds(engine, prompt.promptTokens, prompt.outputTokens);
-        result.cost += policy.shortSlowdownWeight * (result.completionSeconds - alone) / alone;
+        const double ideal =
+                idealCompletionSeconds(engine, prompt.promptTokens, prompt.outputTokens);
+        result.cost += policy.shortSlowdownWeight * (result.completionSeconds - ideal) / ideal;
     }
-    // Large holes are kept for large prompts: memory runs out before time does.
+    // Best fit keeps large free memory for large prompts: memory runs out before engine time does.
     const double spare = double(engine.freeTokens()) - prompt.promptTokens;
     const double capacity = std::max(1.0, double(engine.description().kvCapacityTokens));
     result.cost += policy.tightFitWeight * std::max(0.0, spare) / capacity;
--- a/src/coordination/routing/Prediction.h
+++ b/src/coordination/routing/Prediction.h
@@ -1,5 +1,5 @@
-// What sending a prompt to an engine would cost: its own time to first token and to the end, and
-// the delay that it inflicts on the work already there.
+// Predicts the cost of dispatching a prompt to an engine: its own time to first token and to
+// completion, and the delay that it causes for the work already there.
 #pragma once
 
 #include "coordination/routing/EngineView.h"
@@ -10,11 +10,11 @@
 
 namespace lavenderthread::coordination::routing {
 
-// What prediction needs to know of a prompt.
+// Properties of a prompt that the prediction uses.
 struct Prompt
 {
     std::uint32_t promptTokens = 0;
-    std::uint32_t prefillTokens = 0; // of this dispatch, before the engine's cache is counted
+    std::uint32_t prefillTokens = 0; // of this dispatch, without regard to the engine's cache
     double outputTokens = 0;         // expected
     std::uint8_t priority = 0;
     std::span<const std::uint64_t> prefixBlocks;
@@ -23,17 +23,17 @@
 struct Prediction
 {
     double cachedTokens = 0;
-    double aheadSeconds = 0;      // prefill that goes before it
-    double queueSeconds = 0;      // the same, but alike for all medium prompts
+    double aheadSeconds = 0;      // prefill that runs before the prompt
+    double queueSeconds = 0;      // the same, at one common priority for all medium prompts
     double firstTokenSeconds = 0; // from now
     double completionSeconds = 0; // from now
-    double cost = 0;              // weighted sum of normalised delays, own and inflicted
+    double cost = 0;              // weighted sum of normalised delays, own and of others
 };
 
-// Seconds to the first token of a prompt alone on an idle engine with an empty cache.
+// Time to first token on an idle engine with an empty cache.
 double idealFirstTokenSeconds(const EngineView &engine, double promptTokens);
 
-// The view must have been advanced to now. transferSeconds: one way from the entry to the engine.
+// Call engine.advance(now) first. transferSeconds: one way from the entry to the engine.
 Prediction predict(const EngineView &engine, const Prompt &prompt, const PolicySettings &policy,
                    double transferSeconds);
 
--- a/src/coordination/routing/PrefixIndex.cpp
+++ b/src/coordination/routing/PrefixIndex.cpp
@@ -33,8 +33,8 @@
         this->incarnation = eventIncarnation;
         this->nextSequence = firstSequence;
     }
-    // Lost events may have been evictions: routing by them would send prompts to an engine that has
-    // to prefill all of it. Doubtful blocks count less until the engine shows them again.
+    // Lost events may include evictions. Routing by evicted blocks would send prompts to an engine
+    // that has to prefill them in full, so doubtful blocks count less until they are seen again.
     if (firstSequence > this->nextSequence)
         ++this->generation;
     std::uint64_t sequence = firstSequence;
--- a/src/coordination/routing/PrefixIndex.h
+++ b/src/coordination/routing/PrefixIndex.h
@@ -1,4 +1,4 @@
-// What one engine holds in its prefix cache, as far as its late and gappy events tell.
+// Estimate of an engine's prefix cache, from cache events that may be late or lost.
 #pragma once
 
 #include <compare>
@@ -11,9 +11,9 @@
 
 namespace lavenderthread::coordination::routing {
 
-// Hashes of the prompt's full blocks; each covers all that stands before it, so that equal hashes
-// mean equal prefixes. Four bytes count as one token, as in the endpoint contract;
-// XXH64, as it asks for.
+// Returns chained hashes of the prompt's full blocks: each hash also covers the blocks before it,
+// so that equal hashes mean equal prefixes. The endpoint contract requires XXH64 and counts four
+// bytes as one token.
 std::vector<std::uint64_t> chainPrefixBlocks(std::string_view prompt, std::uint32_t blockTokens);
 
 enum class CacheOperation : std::uint8_t { Stored, Evicted, Cleared };
@@ -26,6 +26,8 @@
     auto operator<=>(const CacheEvent &) const = default;
 };
 
+// Holds the hashes of the blocks that an engine is believed to cache. When the capacity is
+// exceeded, the least recently used block is removed.
 class PrefixIndex
 {
 public:
@@ -33,15 +35,16 @@
         : capacity(capacityBlocks)
     {}
 
-    // Events of one incarnation, numbered from firstSequence on. Repeats are skipped. After a gap
-    // every block known so far is doubtful until it is stored or used again.
+    // Applies events of one incarnation, numbered consecutively from firstSequence. Repeated events
+    // are skipped. After a gap every known block is doubtful until it is stored or used again.
     void apply(std::uint64_t incarnation, std::uint64_t firstSequence,
                std::span<const CacheEvent> events);
 
-    // The engine has just been given a prompt with these blocks and will hold them.
+    // Adds the blocks of a prompt that was just dispatched to the engine, which will cache them.
     void expect(std::span<const std::uint64_t> blocks);
 
-    // Leading blocks that the engine holds; a doubtful one counts doubtfulTrust.
+    // Returns the number of leading blocks that the engine holds. A doubtful block counts as
+    // doubtfulTrust.
     double match(std::span<const std::uint64_t> blocks, double doubtfulTrust) const;
 
     std::size_t size() const { return this->blocks.size(); }
@@ -59,10 +62,10 @@
 
     std::size_t capacity;
     std::uint64_t incarnation = 0;
-    std::uint64_t nextSequence = 0; // 0: no event seen of this incarnation
-    std::uint64_t generation = 0;   // grows with each gap; entries of older ones are doubtful
+    std::uint64_t nextSequence = 0; // 0: no event of this incarnation yet
+    std::uint64_t generation = 0;   // incremented by each gap; entries of older ones are doubtful
     std::unordered_map<std::uint64_t, Entry> blocks; // at most `capacity`
-    std::list<std::uint64_t> order;                  // oldest first; the same keys as `blocks`
+    std::list<std::uint64_t> order; // least recently used first; same keys as `blocks`
 };
 
 } // namespace lavenderthread::coordination::routing
--- a/src/coordination/routing/ReplicaChooser.cpp
+++ b/src/coordination/routing/ReplicaChooser.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-// Calls of plain services take tens of milliseconds; an older report says nothing of now.
-constexpr state::Duration reportLife = std::chrono::milliseconds(300);
-// What a replica reports was true for all entries at once, and they all move away from it; half of
-// it keeps them from moving together.
-constexpr double reportTrust = 0.5;
+// Calls of plain services take tens of milliseconds, so an older report is obsolete.
+constexpr state::Duration reportLifetime = std::chrono::milliseconds(300);
+// Weight of reported load. All entries see the same report; at full weight they would all avoid the
+// replica at the same time (herding).
+constexpr double reportWeight = 0.5;
 
 } // namespace
 
@@ -18,19 +18,19 @@
                                                   const std::vector<state::EndpointId> &tried,
                                                   state::Instant now)
 {
-    const auto isPoor = [&](const ReplicaCandidate &candidate) {
+    const auto isStaleOrSuspect = [&](const ReplicaCandidate &candidate) {
         return candidate.stale
                || this->health.isSuspect(candidate.description.id,
                                          candidate.description.incarnation, now);
     };
-    const auto poor = std::size_t(std::ranges::count_if(candidates, isPoor));
-    const bool trustHealth = poor * 2 <= candidates.size();
+    const auto staleOrSuspect = std::size_t(std::ranges::count_if(candidates, isStaleOrSuspect));
+    const bool trustHealth = staleOrSuspect * 2 <= candidates.size();
     std::optional<std::size_t> best;
     std::tuple<bool, bool, double, std::uint64_t> bestRank;
     for (std::size_t index = 0; index < candidates.size(); ++index) {
         const ReplicaCandidate &candidate = candidates[index];
-        const bool again = std::ranges::find(tried, candidate.description.id) != tried.end();
-        const std::tuple rank(again, trustHealth && isPoor(candidate),
+        const bool alreadyTried = std::ranges::find(tried, candidate.description.id) != tried.end();
+        const std::tuple rank(alreadyTried, trustHealth && isStaleOrSuspect(candidate),
                               this->loadOf(candidate.description.id, now),
                               std::uint64_t(this->random()));
         if (best && bestRank <= rank)
@@ -47,8 +47,9 @@
     if (found == this->replicas.end())
         return 0;
     const Known &known = found->second;
-    const bool fresh = known.reportedAt != state::Instant{} && now - known.reportedAt <= reportLife;
-    return known.outstanding + (fresh ? reportTrust * known.others : 0);
+    const bool fresh =
+            known.reportedAt != state::Instant{} && now - known.reportedAt <= reportLifetime;
+    return known.outstanding + (fresh ? reportWeight * known.others : 0);
 }
 
 void ReplicaChooser::began(const state::EndpointId &replica)
@@ -65,7 +66,7 @@
     this->health.note(replica.id, replica.incarnation, outcome, now);
     this->health.forget(now);
     std::erase_if(this->replicas, [&](const auto &each) {
-        return each.second.outstanding == 0 && each.second.reportedAt + reportLife < now;
+        return each.second.outstanding == 0 && each.second.reportedAt + reportLifetime < now;
     });
 }
 
--- a/src/coordination/routing/ReplicaChooser.h
+++ b/src/coordination/routing/ReplicaChooser.h
@@ -1,5 +1,5 @@
-// Which replica of a plain service takes the next call: the one with the least to do, by this
-// entry's own calls and by what replicas last said of their load.
+// Least-loaded choice among the replicas of a plain service, from this entry's outstanding calls
+// and the load that the replicas last reported.
 #pragma once
 
 #include "coordination/routing/EndpointHealth.h"
@@ -12,7 +12,7 @@
 
 namespace lavenderthread::coordination::routing {
 
-// As a replica says in an answer.
+// Load that a replica reports in an answer, in calls.
 struct ReplicaLoad
 {
     std::uint32_t running = 0;
@@ -28,6 +28,7 @@
     bool stale = false; // its announcements have stopped
 };
 
+// Tracks the load and the health of replicas and chooses one for each call.
 class ReplicaChooser
 {
 public:
@@ -35,22 +36,24 @@
         : random(seed)
     {}
 
-    // A position in `candidates`; `tried` are passed over unless all others are gone. Healthy ones
-    // go before suspect ones, unless those are the most: then the fault is more likely this
-    // entry's or the callers', and leaving most out would only crowd the rest.
+    // Returns an index into `candidates`, or nothing if there are none. Replicas in `tried` are
+    // used only if no others remain. Healthy replicas are preferred to stale or suspect ones unless
+    // these are the majority: then the fault is more likely on the side of this entry or the
+    // callers, and avoiding most replicas would only overload the rest.
     std::optional<std::size_t> choose(const std::vector<ReplicaCandidate> &candidates,
                                       const std::vector<state::EndpointId> &tried,
                                       state::Instant now);
 
     void began(const state::EndpointId &replica);
-    void ended(const state::EndpointDescription &replica, AttemptHealth health, state::Instant now);
+    void ended(const state::EndpointDescription &replica, AttemptHealth outcome,
+               state::Instant now);
     void reported(const state::EndpointId &replica, const ReplicaLoad &load, state::Instant now);
 
 private:
     struct Known
     {
         std::uint32_t outstanding = 0; // calls of this entry
-        std::uint32_t others = 0;      // calls beside them, as last reported
+        std::uint32_t others = 0;      // calls of other entries, as last reported
         state::Instant reportedAt;
     };
 
--- a/src/coordination/routing/SpanPlan.cpp
+++ b/src/coordination/routing/SpanPlan.cpp
@@ -8,20 +8,20 @@
 
 namespace {
 
-struct Room
+struct AvailableEngine
 {
     double busySeconds;
     std::uint64_t tokens;
     state::EndpointId engine;
 
     // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy misreads the defaulted comparison
-    auto operator<=>(const Room &) const = default;
+    auto operator<=>(const AvailableEngine &) const = default;
 };
 
-// What a range may take of an engine. Ranges wait for their turn, and their engines work for others
-// meanwhile: what those need stays free.
-std::uint64_t rangeTokens(const EngineView &view, std::uint64_t freeTokens,
-                          const PolicySettings &policy)
+// Tokens that a part may claim on an engine. Parts are prefilled one after the other, and their
+// engines serve other requests meanwhile, so memory for these stays free.
+std::uint64_t availablePartTokens(const EngineView &view, std::uint64_t freeTokens,
+                                  const PolicySettings &policy)
 {
     const auto capacity = double(view.description().kvCapacityTokens);
     const auto most = std::uint64_t(capacity * policy.spanPartShare);
@@ -29,36 +29,38 @@
     return std::min(most, freeTokens > spare ? freeTokens - spare : 0);
 }
 
-// The engines for longer prompts, or all where those could not hold the prompt even if empty.
+// The engines for longer prompts, or all watched ones if those could not hold the prompt even when
+// empty.
 std::vector<state::EndpointId> eligibleEngines(const Fleet &fleet, const state::ModelName &model,
                                                std::uint64_t tokens, const PolicySettings &policy)
 {
-    std::vector<state::EndpointId> part = fleet.spanEngines(model);
-    std::uint64_t most = 0;
-    for (const state::EndpointId &id : part) {
+    std::vector<state::EndpointId> longEngines = fleet.spanEngines(model);
+    std::uint64_t capacity = 0;
+    for (const state::EndpointId &id : longEngines) {
         const EngineView &view = *fleet.find(id);
         if (!view.draining)
-            most += rangeTokens(view, view.description().kvCapacityTokens, policy);
+            capacity += availablePartTokens(view, view.description().kvCapacityTokens, policy);
     }
-    return most >= tokens ? part : fleet.watched(model);
+    return capacity >= tokens ? longEngines : fleet.watched(model);
 }
 
-// Engines outside the plan, the least busy first.
-std::vector<Room> roomyEngines(Fleet &fleet, const std::vector<state::EndpointId> &eligible,
-                               const SpanPlan &plan, const PolicySettings &policy,
-                               state::Instant now)
+// Engines that the plan does not use, the least busy first.
+std::vector<AvailableEngine> availableEngines(Fleet &fleet,
+                                              const std::vector<state::EndpointId> &eligible,
+                                              const SpanPlan &plan, const PolicySettings &policy,
+                                              state::Instant now)
 {
-    std::vector<Room> rooms;
+    std::vector<AvailableEngine> candidates;
     for (const state::EndpointId &id : eligible) {
         EngineView *view = fleet.find(id);
         if (view->draining || plan.uses(id))
             continue;
         view->advance(now);
-        rooms.push_back(
-                {view->prefillSecondsLeft(), rangeTokens(*view, view->freeTokens(), policy), id});
+        candidates.push_back({view->prefillSecondsLeft(),
+                              availablePartTokens(*view, view->freeTokens(), policy), id});
     }
-    std::ranges::sort(rooms);
-    return rooms;
+    std::ranges::sort(candidates);
+    return candidates;
 }
 
 } // namespace
@@ -94,19 +96,23 @@
                                  const PolicySettings &policy, state::Instant now)
 {
     const std::uint64_t total = std::uint64_t(promptTokens) + outputTokens;
-    std::vector<Room> rooms =
-            roomyEngines(fleet, eligibleEngines(fleet, model, total, policy), {}, policy, now);
-    std::erase_if(rooms, [&](const Room &room) { return room.tokens < policy.spanPartTokens; });
-    // Few and large ranges: each range imports all that stands before it.
-    std::ranges::stable_sort(rooms, std::greater<>(), &Room::tokens);
+    std::vector<AvailableEngine> candidates =
+            availableEngines(fleet, eligibleEngines(fleet, model, total, policy), {}, policy, now);
+    std::erase_if(candidates, [&](const AvailableEngine &candidate) {
+        return candidate.tokens < policy.spanPartTokens;
+    });
+    // Prefers few large parts: each part imports the tokens of all parts before it.
+    std::ranges::stable_sort(candidates, std::greater<>(), &AvailableEngine::tokens);
     SpanPlan plan;
     std::uint64_t from = 0;
-    for (const Room &room : rooms) {
+    for (const AvailableEngine &candidate : candidates) {
         const std::uint64_t left = promptTokens - from;
-        const bool last = room.tokens >= left + outputTokens;
-        // The last range keeps room for the output; a range of nothing but output is no range.
-        const std::uint64_t taken = last ? left : std::min<std::uint64_t>(room.tokens, left - 1);
-        plan.parts.push_back({room.engine, std::uint32_t(from), std::uint32_t(from + taken),
+        const bool last = candidate.tokens >= left + outputTokens;
+        // The last part keeps room for the output. It also keeps at least one prompt token, since a
+        // part that holds only output would have nothing to prefill.
+        const std::uint64_t taken =
+                last ? left : std::min<std::uint64_t>(candidate.tokens, left - 1);
+        plan.parts.push_back({candidate.engine, std::uint32_t(from), std::uint32_t(from + taken),
                               std::uint32_t(from), false});
         from += taken;
         if (last)
@@ -122,13 +128,15 @@
         if (part.engine != lost)
             continue;
         const std::uint64_t needed = part.to - part.from;
-        const std::vector<Room> rooms =
-                roomyEngines(fleet, fleet.watched(model), plan, policy, now);
-        const auto room = std::ranges::find_if(
-                rooms, [needed](const Room &each) { return each.tokens >= needed; });
-        if (room == rooms.end())
+        const std::vector<AvailableEngine> candidates =
+                availableEngines(fleet, fleet.watched(model), plan, policy, now);
+        const auto candidate =
+                std::ranges::find_if(candidates, [needed](const AvailableEngine &each) {
+                    return each.tokens >= needed;
+                });
+        if (candidate == candidates.end())
             return false;
-        part = SpanPart{room->engine, part.from, part.to, part.from, false};
+        part = SpanPart{candidate->engine, part.from, part.to, part.from, false};
     }
     return true;
 }
--- a/src/coordination/routing/WorkNote.h
+++ b/src/coordination/routing/WorkNote.h
@@ -1,5 +1,6 @@
-// What an entry tells the peers that route to the same engine, so that all of them count the same
-// work there. Losing a note costs speed only: reports and expiry correct the view.
+// Message by which an entry tells the peers that route to the same engine about its work there, so
+// that all of them count the same load. A lost note costs only speed, since load reports
+// and expiry correct the estimate.
 #pragma once
 
 #include "coordination/routing/EngineKey.h"
@@ -18,43 +19,43 @@
 namespace lavenderthread::coordination::routing {
 
 enum class WorkStage : std::uint8_t {
-    Dispatched, // handed to the engine, or the next slice of it
-    Decoding,   // the first token came
+    Dispatched, // sent to the engine, whole or its next slice
+    Decoding,   // the first token arrived
     Ended,      // finished, cancelled or lost
-    Waiting,    // a long prompt that is held back at its entry; said again while it waits
+    Waiting,    // long prompt that is queued at its entry; repeated while it waits
 };
 
-// Immutable. Sent when the stage begins; a later stage of the same work replaces the earlier one.
+// Immutable. Sent when a stage begins; a later stage of the same request replaces the earlier one.
 struct WorkNote
 {
     WorkStage stage = WorkStage::Dispatched;
     std::uint64_t work = 0; // hash of the request's id; unique in practice
 
-    // Of work that was dispatched, until it ends.
+    // For dispatched work, until it ends.
     EngineKey engine;
-    bool hasHelpers = false; // other engines prefill a part of it, or hold memory for it
+    bool hasHelpers = false; // other engines prefill a part of the prompt or hold memory for it
 
-    // Of work that waits.
-    state::Duration age{0};        // since its arrival
-    state::Duration engineTime{0}; // to prefill it
+    // For waiting work.
+    state::Duration age{0};        // since arrival
+    state::Duration engineTime{0}; // needed for its prefill
 
-    // When it is dispatched; the later stages leave these out, since receivers know them.
-    state::TableKey key;             // whom the tokens are charged to
-    std::uint32_t promptTokens = 0;  // whole prompt; tells the length class
-    std::uint32_t prefillTokens = 0; // left to prefill on this engine, after its cached prefix
+    // For Dispatched only: in later stages the receivers know them already.
+    state::TableKey key;             // account and work class that the tokens are charged to
+    std::uint32_t promptTokens = 0;  // whole prompt; determines the length class
+    std::uint32_t prefillTokens = 0; // to prefill on this engine, without its cached prefix
     std::uint32_t outputTokens = 0;  // expected
     std::uint32_t memoryTokens = 0;  // claimed on this engine
-    std::uint32_t chargedTokens = 0; // service charged to the key by this note
-    std::uint8_t priority = 0;       // as sent to the engine, 0 goes first
-    state::Duration lifetime{0};     // until its deadline, after which receivers forget it
-    state::Duration pause{0};        // that its caller bears between two events; 0: not known
-    std::vector<EngineKey> helpers;  // engines that prefill as much of the prompt, each
-    std::vector<std::uint32_t> helperMemory; // tokens reserved at the first helpers, in their order
+    std::uint32_t chargedTokens = 0; // charged to the key by this note
+    std::uint8_t priority = 0;       // as sent to the engine; 0 is the most urgent
+    state::Duration lifetime{0};     // until the deadline, after which receivers drop the work
+    state::Duration pause{0};       // the caller's longest tolerated gap between events; 0: unknown
+    std::vector<EngineKey> helpers; // each of them also prefills prefillTokens of the prompt
+    std::vector<std::uint32_t> helperMemory; // tokens reserved at the first helpers, in order
 
     auto operator<=>(const WorkNote &) const = default;
 
-    // Each request takes three notes to every peer, which are nearly all bytes between the failure
-    // domains of a large fleet; so a stage is sent with what it needs only.
+    // Writes only the fields that the stage needs: each request sends three notes to every peer,
+    // and these are nearly all the traffic between the failure domains of a large fleet.
     template <typename Archive>
     void serialize(Archive &archive)
     {
@@ -83,7 +84,7 @@
         shortList(archive, this->helperMemory, [&archive](std::uint32_t &each) { archive(each); });
     }
 
-    // In microseconds, up to an hour.
+    // 32 bits of microseconds, somewhat more than an hour; other values are clamped.
     template <typename Archive>
     static void shortTime(Archive &archive, state::Duration &time)
     {
@@ -93,7 +94,7 @@
         time = state::Duration(us);
     }
 
-    // Of at most 65,535 bytes, more than any name may have.
+    // At most 65,535 bytes, more than any name may have.
     template <typename Archive>
     static std::string shortText(Archive &archive, std::string text)
     {
@@ -104,7 +105,7 @@
         return text;
     }
 
-    // Of at most 255 elements; engines take up to 16 helpers.
+    // At most 255 elements; engines accept up to 16 helpers.
     template <typename Archive, typename Element, typename Each>
     static void shortList(Archive &archive, std::vector<Element> &list, const Each &each)
     {
--- a/tests/coordination/routing/HealthTest.cpp
+++ b/tests/coordination/routing/HealthTest.cpp
@@ -1,4 +1,4 @@
-// Which endpoints are suspected, and which replica of a plain service takes a call.
+// Tests when endpoints become suspect and which replica of a plain service takes a call.
 #include "coordination/routing/ReplicaChooser.h"
 
 #include <cppunit/TestFixture.h>
@@ -9,12 +9,12 @@
 class HealthTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(HealthTest);
-    CPPUNIT_TEST(fewFailuresAmongManySuccessesAreBorne);
-    CPPUNIT_TEST(failingEndpointIsSuspectedLongerEachTime);
-    CPPUNIT_TEST(unreachableIsSuspectedAtOnce);
+    CPPUNIT_TEST(fewFailuresAmongManySuccessesAreTolerated);
+    CPPUNIT_TEST(suspicionOfFailingEndpointGrowsEachTime);
+    CPPUNIT_TEST(unreachableEndpointIsSuspectAtOnce);
     CPPUNIT_TEST(restartClearsSuspicion);
     CPPUNIT_TEST(leastLoadedReplicaIsChosen);
-    CPPUNIT_TEST(suspectsComeLastUnlessTheyAreMost);
+    CPPUNIT_TEST(suspectReplicasComeLastUnlessInMajority);
     CPPUNIT_TEST(triedReplicasComeLast);
     CPPUNIT_TEST_SUITE_END();
 
@@ -30,8 +30,8 @@
     }
 
 public:
-    // A service fails one call in seven by its nature; its replicas must not be taken for broken.
-    void fewFailuresAmongManySuccessesAreBorne()
+    // A service that regularly fails one call in seven must not make its replicas suspect.
+    void fewFailuresAmongManySuccessesAreTolerated()
     {
         EndpointHealth health;
         for (int call = 0; call < 200; ++call) {
@@ -41,23 +41,23 @@
         }
     }
 
-    void failingEndpointIsSuspectedLongerEachTime()
+    void suspicionOfFailingEndpointGrowsEachTime()
     {
         EndpointHealth health;
         state::Duration before{0};
         for (int round = 0; round < 3; ++round) {
             while (!health.note(this->id, 1, AttemptHealth::Failed, this->now))
                 this->now += std::chrono::milliseconds(100);
-            state::Duration lasts{0};
-            while (health.isSuspect(this->id, 1, this->now + lasts))
-                lasts += std::chrono::milliseconds(100);
-            CPPUNIT_ASSERT(lasts > before);
-            before = lasts;
-            this->now += lasts;
+            state::Duration duration{0};
+            while (health.isSuspect(this->id, 1, this->now + duration))
+                duration += std::chrono::milliseconds(100);
+            CPPUNIT_ASSERT(duration > before);
+            before = duration;
+            this->now += duration;
         }
     }
 
-    void unreachableIsSuspectedAtOnce()
+    void unreachableEndpointIsSuspectAtOnce()
     {
         EndpointHealth health;
         CPPUNIT_ASSERT(health.note(this->id, 1, AttemptHealth::Unreachable, this->now));
@@ -84,12 +84,12 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), *chooser.choose(replicas, {}, this->now));
         chooser.reported(replicas[2].description.id, {6, 4, 6}, this->now);
         CPPUNIT_ASSERT(*chooser.choose(replicas, {}, this->now) != 2);
-        this->now += std::chrono::seconds(1); // the report says nothing of now
+        this->now += std::chrono::seconds(1); // the report is obsolete
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), *chooser.choose(replicas, {}, this->now));
         CPPUNIT_ASSERT(!chooser.choose({}, {}, this->now));
     }
 
-    void suspectsComeLastUnlessTheyAreMost()
+    void suspectReplicasComeLastUnlessInMajority()
     {
         ReplicaChooser chooser(1);
         const std::vector<ReplicaCandidate> replicas = {replica(0), replica(1), replica(2)};
@@ -104,7 +104,7 @@
         bool usesAll = false;
         for (int call = 0; call < 100; ++call)
             usesAll = usesAll || *chooser.choose(replicas, {}, this->now) != 2;
-        CPPUNIT_ASSERT_MESSAGE("with most suspected none is left out", usesAll);
+        CPPUNIT_ASSERT_MESSAGE("none is left out when most are suspect", usesAll);
     }
 
     void triedReplicasComeLast()
--- a/tests/coordination/routing/PolicySettingsTest.cpp
+++ b/tests/coordination/routing/PolicySettingsTest.cpp
@@ -1,4 +1,4 @@
-// The two example settings are one policy with two weights.
+// The settings timekeep and cascadia are the same policy with different weights.
 #include "coordination/routing/PolicySettings.h"
 
 #include <cppunit/TestFixture.h>
@@ -10,7 +10,7 @@
 {
     CPPUNIT_TEST_SUITE(PolicySettingsTest);
     CPPUNIT_TEST(examplesDifferInTwoWeights);
-    CPPUNIT_TEST(refusesWhatIsOutOfRange);
+    CPPUNIT_TEST(rejectsValuesOutOfRange);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -26,7 +26,7 @@
         CPPUNIT_ASSERT(cascadia == timekeep);
     }
 
-    void refusesWhatIsOutOfRange()
+    void rejectsValuesOutOfRange()
     {
         const PolicySettings settings;
         for (const auto &[member, value] :
--- a/tests/coordination/routing/PrefixIndexTest.cpp
+++ b/tests/coordination/routing/PrefixIndexTest.cpp
@@ -1,4 +1,4 @@
-// Contract of PrefixIndex under late, repeated and missing cache events.
+// Tests PrefixIndex with late, repeated and lost cache events.
 #include "coordination/routing/PrefixIndex.h"
 
 #include <cppunit/TestFixture.h>
@@ -14,11 +14,11 @@
     CPPUNIT_TEST(equalPrefixesGiveEqualHashes);
     CPPUNIT_TEST(gapMakesEntriesDoubtful);
     CPPUNIT_TEST(repeatedEventsAreSkipped);
-    CPPUNIT_TEST(restartForgetsAll);
+    CPPUNIT_TEST(restartClearsIndex);
     CPPUNIT_TEST(sizeIsBounded);
     CPPUNIT_TEST_SUITE_END();
 
-    static constexpr double trust = 0.5;
+    static constexpr double doubtfulTrust = 0.5;
 
     static std::vector<CacheEvent> stored(std::initializer_list<std::uint64_t> blocks)
     {
@@ -30,7 +30,7 @@
 
     static double match(const PrefixIndex &index, std::vector<std::uint64_t> blocks)
     {
-        return index.match(blocks, trust);
+        return index.match(blocks, doubtfulTrust);
     }
 
 public:
@@ -42,15 +42,15 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), first.size());
         CPPUNIT_ASSERT_EQUAL(first[0], second[0]);
         CPPUNIT_ASSERT(first[1] != second[1]);
-        // The same block behind another one is another prefix.
+        // The same block after another one is a different prefix.
         CPPUNIT_ASSERT(chainPrefixBlocks(std::string(8 * 8, 'a'), 8)[1] != first[0]);
     }
 
     void gapMakesEntriesDoubtful()
     {
-        // The caller's prompt goes to an engine for its cached prefix and waits for a full prefill.
-        // Events 3 to 9 are lost, among them evictions; event 10 arrives.
-        // What was known before may be gone: it counts half until the engine shows it again.
+        // Guards against sending a prompt to an engine for a cached prefix that was evicted, where
+        // it waits for a full prefill. Events 3 to 9 are lost, evictions among them, and event 10
+        // arrives. Blocks known before count half until the engine reports them again.
         PrefixIndex index(100);
         index.apply(1, 1, stored({11, 12}));
         CPPUNIT_ASSERT_EQUAL(2.0, match(index, {11, 12, 13}));
@@ -70,14 +70,14 @@
         CPPUNIT_ASSERT_EQUAL(0.0, match(index, {11}));
     }
 
-    void restartForgetsAll()
+    void restartClearsIndex()
     {
         PrefixIndex index(100);
         index.apply(1, 1, stored({11, 12}));
         index.apply(2, 1, stored({12}));
         CPPUNIT_ASSERT_EQUAL(0.0, match(index, {11}));
         CPPUNIT_ASSERT_EQUAL(1.0, match(index, {12}));
-        index.apply(1, 3, stored({11})); // late news of the engine's former life
+        index.apply(1, 3, stored({11})); // late event of the engine's former incarnation
         CPPUNIT_ASSERT_EQUAL(0.0, match(index, {11}));
     }
 
