--- a/src/coordination/admission/Dispatcher.cpp
+++ b/src/coordination/admission/Dispatcher.cpp
@@ -1,4 +1,4 @@
-// The life of a request: arrival, progress, and the one final answer.
+// The lifecycle of a request: arrival, progress, and its single final answer.
 #include "coordination/admission/Dispatcher.h"
 
 #include <xxhash.h>
@@ -10,8 +10,8 @@
 
 namespace {
 
-// While something waits, time alone can open a place: predicted work drains between events.
-constexpr state::Duration queueTick = std::chrono::milliseconds(5);
+// While requests wait, an engine can become free without an event: predicted work drains with time.
+constexpr state::Duration queuePollPeriod = std::chrono::milliseconds(5);
 constexpr state::Duration backlogSharePeriod = std::chrono::milliseconds(50);
 
 } // namespace
@@ -40,7 +40,7 @@
     if (!this->deadlines.empty())
         consider(this->deadlines.begin()->first);
     if (this->queue.size() > 0 || this->longQueue.hasOwn())
-        consider(this->now + queueTick);
+        consider(this->now + queuePollPeriod);
     if (this->backlogShared)
         consider(this->backlogSharedAt + backlogSharePeriod);
     for (const state::RequestId &id : this->spans)
@@ -61,14 +61,14 @@
         return;
     }
     ++this->tally.admitted;
-    Flight flight;
-    flight.request = request;
-    flight.work = workOf(request.id);
-    flight.lengthClass = lengthClass;
-    flight.span = this->needsSpan(request);
+    Flight active;
+    active.request = request;
+    active.work = workOf(request.id);
+    active.lengthClass = lengthClass;
+    active.span = this->needsSpan(request);
     this->deadlines.emplace(request.deadline, request.id);
-    Flight &kept = this->flights.emplace(request.id, std::move(flight)).first->second;
-    this->enqueue(kept, false);
+    Flight &stored = this->flights.emplace(request.id, std::move(active)).first->second;
+    this->enqueue(stored, false);
     this->pump();
 }
 
@@ -80,38 +80,38 @@
 
 void Dispatcher::on(const SlicePrefilled &event)
 {
-    Flight *flight = this->current(event.id, event.attempt);
-    if (flight == nullptr || flight->phase != Phase::Prefilling)
+    Flight *active = this->current(event.id, event.attempt);
+    if (active == nullptr || active->phase != Phase::Prefilling)
         return;
-    routing::SpanPart &part = flight->plan.parts[flight->running];
+    routing::SpanPart &part = active->plan.parts[active->running];
     part.done = std::clamp(event.upTo, part.done, part.to);
-    this->dispatchNext(*flight);
+    this->dispatchNext(*active);
     this->pump();
 }
 
 void Dispatcher::on(const TokensReceived &event)
 {
-    Flight *flight = this->current(event.id, event.attempt);
-    if (flight == nullptr)
+    Flight *active = this->current(event.id, event.attempt);
+    if (active == nullptr)
         return;
-    flight->received = std::max(flight->received, event.nextOffset);
-    if (flight->phase != Phase::Prefilling)
+    active->received = std::max(active->received, event.nextOffset);
+    if (active->phase != Phase::Prefilling)
         return;
-    flight->phase = Phase::Decoding;
-    routing::SpanPart &part = flight->plan.parts[flight->running];
+    active->phase = Phase::Decoding;
+    routing::SpanPart &part = active->plan.parts[active->running];
     part.done = part.to;
-    this->tell(*flight, flight->running, routing::WorkStage::Decoding);
+    this->tell(*active, active->running, routing::WorkStage::Decoding);
     this->pump();
 }
 
 void Dispatcher::on(const RequestFinished &event)
 {
-    const Flight *flight = this->current(event.id, event.attempt);
-    if (flight == nullptr)
+    const Flight *active = this->current(event.id, event.attempt);
+    if (active == nullptr)
         return;
     ++this->tally.finished;
     this->retries.succeeded();
-    // The engine has freed its stream already: no cancel for it.
+    // The engine has already freed the stream, so endRequest() must not cancel it.
     this->flights.at(event.id).handedOver = false;
     this->end(event.id);
     this->pump();
@@ -134,9 +134,9 @@
         this->end(id);
     }
     for (const state::RequestId &id : this->spans) {
-        Flight &flight = this->flights.at(id);
-        if (flight.renewAt <= this->now)
-            this->renew(flight);
+        Flight &active = this->flights.at(id);
+        if (active.renewAt <= this->now)
+            this->renew(active);
     }
     this->refuseHopeless();
     this->pump();
@@ -147,37 +147,37 @@
 Dispatcher::Flight *Dispatcher::current(const state::RequestId &id, std::uint32_t attempt)
 {
     const auto found = this->flights.find(id);
-    // Late events of an attempt that was given up: another engine works on the request now, and
-    // counting both would splice two streams.
+    // Late events of an abandoned attempt are ignored: another engine runs the request now, and
+    // counting both would mix two streams.
     if (found == this->flights.end() || found->second.attempt != attempt)
         return nullptr;
     return &found->second;
 }
 
-// Every way out of a flight comes here, so that no reservation, limit or engine work is left.
+// Every request ends here, so that no reservation, limit or work on an engine is left behind.
 void Dispatcher::end(const state::RequestId &id)
 {
     const auto found = this->flights.find(id);
     if (found == this->flights.end())
         return;
-    Flight &flight = found->second;
-    if (flight.phase == Phase::Queued) {
-        if (const auto prompt = this->longQueue.findOwn(flight.work))
-            this->tellWaiting(flight, *prompt, routing::WorkStage::Ended);
-        this->dequeue(flight);
+    Flight &active = found->second;
+    if (active.phase == Phase::Queued) {
+        if (const auto prompt = this->longQueue.findOwn(active.work))
+            this->tellWaiting(active, *prompt, routing::WorkStage::Ended);
+        this->dequeue(active);
     }
-    const bool onEngine = flight.phase == Phase::Prefilling || flight.phase == Phase::Decoding;
+    const bool onEngine = active.phase == Phase::Prefilling || active.phase == Phase::Decoding;
     if (onEngine) {
-        if (flight.handedOver) {
+        if (active.handedOver) {
             this->actions.emplace_back(
-                    CancelOnEngine{id, flight.attempt, flight.plan.parts[flight.running].engine});
+                    CancelOnEngine{id, active.attempt, active.plan.parts[active.running].engine});
         }
-        this->tell(flight, flight.running, routing::WorkStage::Ended);
+        this->tell(active, active.running, routing::WorkStage::Ended);
     }
-    this->giveBack(flight);
+    this->giveBack(active);
     if (this->hooks.releaseLimit)
-        this->hooks.releaseLimit(flight.request, flight.received, this->now);
-    this->deadlines.erase({flight.request.deadline, id});
+        this->hooks.releaseLimit(active.request, active.received, this->now);
+    this->deadlines.erase({active.request.deadline, id});
     this->flights.erase(found);
 }
 
@@ -186,14 +186,14 @@
     return XXH3_64bits(id.value().data(), id.value().size());
 }
 
-// Not by what the request is now: its model's engines may have ended, or work otherwise, since it
-// was queued.
-void Dispatcher::dequeue(const Flight &flight)
+// Asks the queues instead of isLong(): the model's engines may have left, or may work in another
+// way, since the request was queued.
+void Dispatcher::dequeue(const Flight &active)
 {
-    if (this->longQueue.findOwn(flight.work))
-        this->longQueue.remove(flight.work);
+    if (this->longQueue.findOwn(active.work))
+        this->longQueue.remove(active.work);
     else
-        this->queue.remove(this->queuedOf(flight));
+        this->queue.remove(this->queuedOf(active));
 }
 
 void Dispatcher::refuse(const state::RequestId &id, RefusalReason reason,
@@ -207,12 +207,12 @@
 
 void Dispatcher::shareBacklog()
 {
-    const bool waits = this->queue.size() > 0;
-    if (!this->policy.shareWork || (!waits && !this->backlogShared)
+    const bool hasWaiting = this->queue.size() > 0;
+    if (!this->policy.shareWork || (!hasWaiting && !this->backlogShared)
         || this->now < this->backlogSharedAt + backlogSharePeriod)
         return;
     this->backlogSharedAt = this->now;
-    this->backlogShared = waits;
+    this->backlogShared = hasWaiting;
     BacklogNote note;
     note.entry = this->self;
     note.leastService = this->queue.leastService(this->now).value_or(0);
--- a/src/coordination/admission/Dispatcher.h
+++ b/src/coordination/admission/Dispatcher.h
@@ -1,8 +1,9 @@
-// Decides, for one entry, which request goes where and when: (state, event, now) -> actions.
+// The scheduler of one entry: decides to which engine each request is sent, and when. A state
+// machine without I/O: (state, event, now) -> actions.
 //
-// The driver passes every event with the time, in the order in which they came, and carries out the
-// actions in the order given. It calls handle(Tick{}, now) at nextWake() at the latest. Not thread
-// safe: one Dispatcher belongs to one strand.
+// The driver passes every event with the time, in order of arrival, and carries out the actions in
+// the order given. It calls handle(Tick{}, now) at nextWake() at the latest. Not thread safe: one
+// Dispatcher belongs to one strand.
 #pragma once
 
 #include "coordination/admission/Events.h"
@@ -25,11 +26,11 @@
 struct DispatcherHooks
 {
     routing::FleetHooks fleet;
-    // Global limits: takes the request out of this entry's slice of its row's limits. Gives nothing
-    // when granted, or the time after which to ask again. Empty hook: no limits.
+    // Global limits: charges the request to this entry's share of its table row's limits. Returns
+    // nothing if granted, else the time after which to ask again. An empty hook means no limits.
     std::function<std::optional<state::Duration>(const CompletionRequest &, state::Instant)>
             acquireLimit;
-    // Called once for each granted request when it is over, with the output tokens it got.
+    // Called once for each granted request when it ends, with the number of its output tokens.
     std::function<void(const CompletionRequest &, std::uint32_t, state::Instant)> releaseLimit;
 };
 
@@ -40,9 +41,11 @@
     std::uint64_t expired = 0;
     std::uint64_t finished = 0;
     std::uint64_t retried = 0;
-    std::uint64_t recomputedTokens = 0; // of ranges lost with their engine
+    std::uint64_t recomputedTokens = 0; // prefilled tokens of spans that were lost with an engine
 };
 
+// Admits or refuses requests, queues them, places them on engines and retries lost attempts.
+// Every request ends with at most one final answer, and its reservations and limits are released.
 class Dispatcher
 {
 public:
@@ -50,7 +53,7 @@
                std::uint64_t seed);
 
     std::vector<Action> handle(const Event &event, state::Instant now);
-    // When Tick is due; nothing if only events can change anything.
+    // When the next Tick is due; nothing if only other events can change the state.
     std::optional<state::Instant> nextWake() const;
 
     std::size_t waiting() const { return this->queue.size(); }
@@ -61,31 +64,32 @@
 private:
     enum class Phase : std::uint8_t { Queued, Reserving, Prefilling, Decoding };
 
+    // A request from its admission until its end, queued or on an engine.
     struct Flight
     {
         CompletionRequest request;
         std::uint64_t work = 0;
         LengthClass lengthClass = LengthClass::Short;
         Phase phase = Phase::Queued;
-        routing::SpanPlan plan;  // one part for a prompt that one engine holds
-        bool span = false;       // its parts are reserved
-        std::size_t running = 0; // part of the plan that is on an engine now
+        routing::SpanPlan plan;  // has a single part if one engine holds the prompt
+        bool span = false;       // several engines hold it; each part needs a reservation
+        std::size_t running = 0; // index of the plan's part that is on an engine now
         std::uint32_t attempt = 0;
-        std::uint32_t received = 0; // output tokens that the caller has
-        bool handedOver = false;    // some engine was given it
-        state::Instant notBefore{}; // of the next try to place it
-        state::Instant renewAt{};   // of its reservations
-        state::FailureDomain avoid;
-        // Of a request on engines that work in passes.
+        std::uint32_t received = 0; // output tokens that the caller has received
+        bool handedOver = false;    // an engine may be running it or may have run it
+        state::Instant notBefore{}; // earliest time of the next placement
+        state::Instant renewAt{};   // when its reservations are renewed
+        state::FailureDomain avoid; // of the engine that failed last
+        // Used only on engines that work in passes.
         std::vector<state::EndpointId> helpers;
-        double partSeconds = 0; // prefill at the engine and at each helper
+        double partSeconds = 0; // prefill time at the engine and at each helper
         state::Duration predictedFirst{0};
         routing::PassLook look;
-        std::vector<state::EndpointId> failed; // engines that have failed this request
-        std::uint32_t runs = 0;                // of them, those that may have run it
-        bool moving = false;                   // its next try is paid for
+        std::vector<state::EndpointId> failed; // one for each failed attempt
+        std::uint32_t runs = 0;                // failed attempts that may have executed it
+        bool moving = false;                   // the retry budget has paid for its next attempt
 
-        // Memory at the first helpers, for a prompt that its engine can't hold.
+        // KV memory at one of the first helpers, for a prompt that its engine can't hold.
         struct Ticket
         {
             routing::MemoryShare share;
@@ -98,7 +102,7 @@
     };
     using Flights = std::unordered_map<state::RequestId, Flight>;
 
-    // Dispatcher.cpp: life of a request
+    // Dispatcher.cpp: request lifecycle
     void on(const RequestArrived &event);
     void on(const CallerCancelled &event);
     void on(const SlicePrefilled &event);
@@ -122,80 +126,80 @@
     void on(const PeerBacklogNoted &event);
     void on(const AttemptFailed &event);
     void on(const MoveAsked &event);
-    bool isExhausted(const Flight &flight) const;
-    void attemptLost(Flight &flight, const state::EndpointId &engine, bool didNotRun,
+    bool isExhausted(const Flight &active) const;
+    void attemptLost(Flight &active, const state::EndpointId &engine, bool didNotRun,
                      bool engineLost);
-    // Fills in what peers need to know of dispatched work.
-    void describe(const Flight &flight, std::size_t part, routing::WorkNote &note) const;
-    // Applies a work note to the own view and sends it to the peers.
-    void tell(const Flight &flight, std::size_t part, routing::WorkStage stage,
+    // Fills in the fields of a note about dispatched work.
+    void describe(const Flight &active, std::size_t part, routing::WorkNote &note) const;
+    // Applies a work note to this entry's own view and sends it to the peers.
+    void tell(const Flight &active, std::size_t part, routing::WorkStage stage,
               std::uint32_t prefillTokens = 0, std::uint32_t chargedTokens = 0,
               std::uint8_t priority = 0);
 
-    // DispatcherPlacing.cpp: admission and placing
+    // DispatcherPlacing.cpp: admission and placement
     std::optional<Refuse> refusalOf(const CompletionRequest &request, LengthClass lengthClass);
     double waitSeconds(const CompletionRequest &request, LengthClass lengthClass) const;
     void pump();
-    bool place(Flight &flight, bool leads);
-    void dispatchNext(Flight &flight);
-    std::uint8_t priorityOf(const Flight &flight) const;
+    bool place(Flight &active, bool aheadOfShare);
+    void dispatchNext(Flight &active);
+    std::uint8_t priorityOf(const Flight &active) const;
     routing::ChoiceQuery queryOf(const CompletionRequest &request, std::uint8_t priority) const;
     bool needsSpan(const CompletionRequest &request) const;
     LengthClass classOf(std::uint32_t promptTokens) const;
-    QueuedRequest queuedOf(const Flight &flight) const;
-    void enqueue(Flight &flight, bool front);
+    QueuedRequest queuedOf(const Flight &active) const;
+    void enqueue(Flight &active, bool front);
     double idealSeconds(const CompletionRequest &request) const;
 
     // DispatcherPasses.cpp: engines that work in declared passes
     std::optional<Refuse> refusalByPasses(const CompletionRequest &request);
-    bool placeByPasses(Flight &flight);
+    bool placeByPasses(Flight &active);
     std::optional<Refuse> briefRefusal(const CompletionRequest &request);
     std::optional<Refuse> longRefusal(const CompletionRequest &request,
                                       const routing::LongOutlook &outlook, double secondsBefore);
     std::optional<Refuse> refusalWhenOver(const CompletionRequest &request,
-                                          state::Duration over) const;
+                                          state::Duration overrun) const;
     bool isLong(const CompletionRequest &request) const;
-    WaitingPrompt waitingOf(const Flight &flight) const;
+    WaitingPrompt waitingOf(const Flight &active) const;
     void pumpLong();
     void refuseHopeless();
-    state::Duration waitingPatience(const Flight &flight, state::Duration usual) const;
+    state::Duration waitingPatience(const Flight &active, state::Duration defaultWait) const;
     void shareWaiting();
-    void tellWaiting(const Flight &flight, const WaitingPrompt &prompt, routing::WorkStage stage);
-    void dequeue(const Flight &flight);                      // from the queue that holds it
-    static std::uint64_t workOf(const state::RequestId &id); // what peers know the request by
+    void tellWaiting(const Flight &active, const WaitingPrompt &prompt, routing::WorkStage stage);
+    void dequeue(const Flight &active);                      // from the queue that holds it
+    static std::uint64_t workOf(const state::RequestId &id); // identifies the request in work notes
     routing::PassRequest passRequestOf(const CompletionRequest &request) const;
-    void reserveTickets(Flight &flight, const std::vector<routing::MemoryShare> &memory);
-    void ticketAnswered(Flight &flight, const ReservationAnswered &event);
-    void releaseTickets(Flight &flight);
-    std::uint32_t partTokens(const Flight &flight) const;
+    void reserveTickets(Flight &active, const std::vector<routing::MemoryShare> &memory);
+    void ticketAnswered(Flight &active, const ReservationAnswered &event);
+    void releaseTickets(Flight &active);
+    std::uint32_t partTokens(const Flight &active) const;
     void applyNote(const routing::WorkNote &note);
 
     // DispatcherSpans.cpp: reservations
     void on(const ReservationAnswered &event);
-    bool placeSpan(Flight &flight);
-    void reserveNext(Flight &flight);
-    void giveBack(Flight &flight);
-    void renew(Flight &flight);
-    std::uint32_t partMemory(const Flight &flight, std::size_t part) const;
-    std::string leaseOf(const Flight &flight, std::size_t part) const;
+    bool placeSpan(Flight &active);
+    void reserveNext(Flight &active);
+    void giveBack(Flight &active);
+    void renew(Flight &active);
+    std::uint32_t partMemory(const Flight &active, std::size_t part) const;
+    std::string leaseOf(const Flight &active, std::size_t part) const;
 
     state::VmId self;
     routing::PolicySettings policy;
     DispatcherHooks hooks;
     routing::Fleet engines;
     FairQueue queue;
-    LongQueue longQueue; // own and peers' long prompts for engines that work in passes
+    LongQueue longQueue; // own and peers' long prompts; for engines that work in passes
     state::Instant longSharedAt{};
     RetryBudget retries;
     Flights flights;
-    std::set<std::pair<state::Instant, state::RequestId>> deadlines; // one for each flight
-    std::set<state::RequestId> spans; // flights with reservations to renew
-    std::map<state::VmId, std::pair<BacklogNote, state::Instant>> peers; // with expiry
+    std::set<std::pair<state::Instant, state::RequestId>> deadlines; // one for each request
+    std::set<state::RequestId> spans; // requests whose reservations must be renewed
+    std::map<state::VmId, std::pair<BacklogNote, state::Instant>> peers; // with expiry time
     DispatcherCounts tally;
     state::Instant now{};
     state::Instant backlogSharedAt{};
     bool backlogShared = false;
-    std::vector<Action> actions; // of the event in hand
+    std::vector<Action> actions; // for the event being handled
 };
 
 } // namespace lavenderthread::coordination::admission
--- a/src/coordination/admission/DispatcherEngines.cpp
+++ b/src/coordination/admission/DispatcherEngines.cpp
@@ -1,4 +1,4 @@
-// Engines and peers: their news, and what their loss means for the work on them.
+// Events from engines and peers, and the handling of attempts lost with an engine.
 #include "coordination/admission/Dispatcher.h"
 
 #include <algorithm>
@@ -11,7 +11,7 @@
     const routing::EngineView *known = this->engines.find(event.description.id);
     const bool restarted =
             known != nullptr && event.description.incarnation > known->description().incarnation;
-    // A restarted engine has lost its streams and its memory, like one that is gone.
+    // A restarted engine has lost its streams and its KV memory, as if it were gone.
     if (restarted)
         this->on(EngineGone{event.description.id});
     this->engines.announce(event.description, event.profile);
@@ -23,11 +23,11 @@
     if (this->engines.find(event.engine) == nullptr)
         return;
     std::vector<state::RequestId> lost;
-    for (const auto &[id, flight] : this->flights) {
-        if (flight.phase != Phase::Queued && flight.needs(event.engine))
+    for (const auto &[id, active] : this->flights) {
+        if (active.phase != Phase::Queued && active.needs(event.engine))
             lost.push_back(id);
     }
-    // The oldest deadline first, and the same order in every run.
+    // The earliest deadline first; also makes the order reproducible.
     std::ranges::sort(lost, {}, [this](const state::RequestId &id) {
         return std::pair(this->flights.at(id).request.deadline, id);
     });
@@ -85,140 +85,141 @@
     std::optional<double> least;
     std::erase_if(this->peers,
                   [this](const auto &each) { return each.second.second <= this->now; });
-    for (const auto &[peer, noted] : this->peers) {
-        if (noted.first.waitingWeight > 0 && (!least || noted.first.leastService < *least))
-            least = noted.first.leastService;
+    for (const auto &[peer, backlog] : this->peers) {
+        if (backlog.first.waitingWeight > 0 && (!least || backlog.first.leastService < *least))
+            least = backlog.first.leastService;
     }
     this->queue.setPeersLeast(least);
 }
 
 void Dispatcher::on(const AttemptFailed &event)
 {
-    Flight *flight = this->current(event.id, event.attempt);
-    if (flight == nullptr || flight->plan.parts.empty())
+    Flight *active = this->current(event.id, event.attempt);
+    if (active == nullptr || active->plan.parts.empty())
         return;
-    const state::EndpointId engine = flight->plan.parts[flight->running].engine;
-    this->attemptLost(*flight, engine, event.didNotRun, false);
+    const state::EndpointId engine = active->plan.parts[active->running].engine;
+    this->attemptLost(*active, engine, event.didNotRun, false);
     this->pump();
 }
 
-// Silence alone is no reason to give an answer up: an engine that waits for a lost helper goes on
-// after a second or two, and a caller whose answer was cut in the middle has lost what would still
-// have come. So the request leaves its engine only if it has a try left and the budget pays for it.
+// A silent stream alone is no reason to abandon a response: an engine that waits for a lost helper
+// continues after a second or two, and a caller whose response is cut off loses what would still
+// have come. So the request leaves its engine only if it has an attempt left and the retry budget
+// pays for it.
 void Dispatcher::on(const MoveAsked &event)
 {
     MoveAnswered answer{event.id, event.attempt, false};
-    Flight *flight = this->current(event.id, event.attempt);
-    if (flight != nullptr && flight->request.idempotent) {
-        const std::uint32_t attempts = flight->request.attempts;
-        const bool lastRun = attempts > 0 ? flight->runs + 1 >= attempts
-                                          : flight->attempt >= this->policy.attemptsLimit;
-        answer.allowed = !lastRun && (flight->moving || this->retries.take());
-        flight->moving = answer.allowed;
+    Flight *active = this->current(event.id, event.attempt);
+    if (active != nullptr && active->request.idempotent) {
+        const std::uint32_t attempts = active->request.attempts;
+        const bool lastRun = attempts > 0 ? active->runs + 1 >= attempts
+                                          : active->attempt >= this->policy.attemptsLimit;
+        answer.allowed = !lastRun && (active->moving || this->retries.take());
+        active->moving = answer.allowed;
     }
     this->actions.emplace_back(answer);
 }
 
-// A request that names its own bound may run on that many engines; engines that refuse it are not
-// counted, but they can't be tried for ever either.
-bool Dispatcher::isExhausted(const Flight &flight) const
+// A request with its own limit may run on that many engines. Engines that refuse it don't count
+// towards the limit, but only a few more attempts are made because of them.
+bool Dispatcher::isExhausted(const Flight &active) const
 {
-    constexpr std::uint32_t refusalsBeside = 2;
-    const std::uint32_t attempts = flight.request.attempts;
+    constexpr std::uint32_t extraAttempts = 2;
+    const std::uint32_t attempts = active.request.attempts;
     if (attempts == 0)
-        return flight.attempt >= this->policy.attemptsLimit;
-    return flight.runs >= attempts || flight.failed.size() >= attempts + refusalsBeside;
+        return active.attempt >= this->policy.attemptsLimit;
+    return active.runs >= attempts || active.failed.size() >= attempts + extraAttempts;
 }
 
-void Dispatcher::attemptLost(Flight &flight, const state::EndpointId &engine, bool didNotRun,
+void Dispatcher::attemptLost(Flight &active, const state::EndpointId &engine, bool didNotRun,
                              bool engineLost)
 {
-    const bool wasReserving = flight.phase == Phase::Reserving;
+    const bool wasReserving = active.phase == Phase::Reserving;
     const bool onEngine = !wasReserving;
-    const bool runningLost = onEngine && flight.plan.parts[flight.running].engine == engine;
+    const bool runningLost = onEngine && active.plan.parts[active.running].engine == engine;
     if (const routing::EngineView *view = this->engines.find(engine))
-        flight.avoid = view->description().failureDomain;
+        active.avoid = view->description().failureDomain;
 
     if (onEngine) {
-        // Decoding needs the KV of every range; a stream on a surviving engine can't go on.
+        // Decoding needs the KV of every part, so a stream on a surviving engine can't go on.
         if (!runningLost) {
-            this->actions.emplace_back(CancelOnEngine{flight.request.id, flight.attempt,
-                                                      flight.plan.parts[flight.running].engine});
+            this->actions.emplace_back(CancelOnEngine{active.request.id, active.attempt,
+                                                      active.plan.parts[active.running].engine});
         }
-        this->tell(flight, flight.running, routing::WorkStage::Ended);
-        if (didNotRun && flight.attempt <= 1)
-            flight.handedOver = false;
+        this->tell(active, active.running, routing::WorkStage::Ended);
+        if (didNotRun && active.attempt <= 1)
+            active.handedOver = false;
     }
-    const bool ran = flight.handedOver && !didNotRun;
-    flight.failed.push_back(engine);
-    flight.runs += didNotRun || wasReserving ? 0 : 1;
-    const bool free = wasReserving || (didNotRun && !this->policy.budgetRefused);
-    const bool repeatable = didNotRun || flight.request.idempotent;
-    const bool paid = std::exchange(flight.moving, false);
-    const bool allowed = free || (repeatable && (paid || this->retries.take()));
-    if ((ran && !flight.request.idempotent) || !allowed || this->isExhausted(flight)) {
-        // Given up: the caller hears it now and not at the deadline, and when to come back.
-        flight.phase = Phase::Reserving; // nothing of it is on an engine any more
-        this->refuse(flight.request.id, RefusalReason::AttemptsExhausted,
+    const bool ran = active.handedOver && !didNotRun;
+    active.failed.push_back(engine);
+    active.runs += didNotRun || wasReserving ? 0 : 1;
+    const bool noBudgetNeeded = wasReserving || (didNotRun && !this->policy.budgetRefused);
+    const bool repeatable = didNotRun || active.request.idempotent;
+    const bool alreadyPaid = std::exchange(active.moving, false);
+    const bool allowed = noBudgetNeeded || (repeatable && (alreadyPaid || this->retries.take()));
+    if ((ran && !active.request.idempotent) || !allowed || this->isExhausted(active)) {
+        // Refused now and not at the deadline, with the time after which to retry.
+        active.phase = Phase::Reserving; // none of it is on an engine any more
+        this->refuse(active.request.id, RefusalReason::AttemptsExhausted,
                      std::chrono::duration_cast<state::Duration>(
-                             std::chrono::duration<double>(this->idealSeconds(flight.request))));
+                             std::chrono::duration<double>(this->idealSeconds(active.request))));
         return;
     }
     if (onEngine && !didNotRun)
         ++this->tally.retried;
-    ++flight.attempt;
-    if (!flight.span) {
-        this->releaseTickets(flight);
-        flight.plan = {};
-        this->enqueue(flight, true);
+    ++active.attempt;
+    if (!active.span) {
+        this->releaseTickets(active);
+        active.plan = {};
+        this->enqueue(active, true);
         return;
     }
-    for (routing::SpanPart &part : flight.plan.parts) {
+    for (routing::SpanPart &part : active.plan.parts) {
         if (part.engine == engine)
             this->tally.recomputedTokens += part.done - part.from;
     }
-    flight.phase = Phase::Reserving;
+    active.phase = Phase::Reserving;
     if (engineLost
-        && routing::replaceLost(flight.plan, engine, this->engines, flight.request.model,
+        && routing::replaceLost(active.plan, engine, this->engines, active.request.model,
                                 this->policy, this->now)) {
-        this->spans.insert(flight.request.id);
-        this->reserveNext(flight);
+        this->spans.insert(active.request.id);
+        this->reserveNext(active);
         return;
     }
-    this->giveBack(flight);
-    flight.plan = {};
-    this->enqueue(flight, true);
+    this->giveBack(active);
+    active.plan = {};
+    this->enqueue(active, true);
 }
 
-void Dispatcher::describe(const Flight &flight, std::size_t part, routing::WorkNote &note) const
+void Dispatcher::describe(const Flight &active, std::size_t part, routing::WorkNote &note) const
 {
-    const CompletionRequest &request = flight.request;
+    const CompletionRequest &request = active.request;
     note.key = request.tableKey();
     note.promptTokens = request.promptTokens;
     note.outputTokens =
             std::uint32_t(request.maximumOutputTokens * this->policy.expectedOutputShare);
-    note.memoryTokens = this->partMemory(flight, part);
-    for (const Flight::Ticket &ticket : flight.tickets)
-        note.memoryTokens -= std::min(note.memoryTokens, ticket.share.tokens);
+    note.memoryTokens = this->partMemory(active, part);
+    for (const Flight::Ticket &reservation : active.tickets)
+        note.memoryTokens -= std::min(note.memoryTokens, reservation.share.tokens);
     note.lifetime = std::max(request.deadline - this->now, state::Duration(1));
     note.pause = request.pause;
-    for (const state::EndpointId &helper : flight.helpers)
+    for (const state::EndpointId &helper : active.helpers)
         note.helpers.push_back(routing::EngineKey::of(helper));
-    for (const Flight::Ticket &ticket : flight.tickets)
-        note.helperMemory.push_back(ticket.share.tokens);
+    for (const Flight::Ticket &reservation : active.tickets)
+        note.helperMemory.push_back(reservation.share.tokens);
 }
 
-void Dispatcher::tell(const Flight &flight, std::size_t part, routing::WorkStage stage,
+void Dispatcher::tell(const Flight &active, std::size_t part, routing::WorkStage stage,
                       std::uint32_t prefillTokens, std::uint32_t chargedTokens,
                       std::uint8_t priority)
 {
     routing::WorkNote note;
     note.stage = stage;
-    note.work = flight.work + part;
-    note.engine = routing::EngineKey::of(flight.plan.parts[part].engine);
-    note.hasHelpers = !flight.helpers.empty();
+    note.work = active.work + part;
+    note.engine = routing::EngineKey::of(active.plan.parts[part].engine);
+    note.hasHelpers = !active.helpers.empty();
     if (stage == routing::WorkStage::Dispatched) {
-        this->describe(flight, part, note);
+        this->describe(active, part, note);
         note.prefillTokens = prefillTokens;
         note.chargedTokens = chargedTokens;
         note.priority = priority;
--- a/src/coordination/admission/DispatcherPasses.cpp
+++ b/src/coordination/admission/DispatcherPasses.cpp
@@ -1,5 +1,5 @@
-// Requests on engines that work in declared passes: they go to an engine at once or are refused at
-// once, since the engines' own queues cost nothing that waiting here would save.
+// Requests on engines that work in declared passes. They are dispatched or refused at once where
+// possible: waiting in an engine's own queue costs nothing that waiting here would save.
 #include "coordination/admission/Dispatcher.h"
 
 #include <algorithm>
@@ -11,9 +11,9 @@
 constexpr state::Duration shortestRetryAfter = std::chrono::milliseconds(200);
 constexpr state::Duration longestRetryAfter = std::chrono::seconds(5);
 constexpr state::Duration longRetryAfter = std::chrono::seconds(2);
-// A place at an engine frees up as the answers there end, a second or two each.
+// Slots of an engine become free as its responses complete, after a second or two each.
 constexpr state::Duration retryWhenFull = std::chrono::milliseconds(700);
-// Below the life of what peers have told, so that one datagram may be lost.
+// Below half of LongPromptQueueSettings::peerLifetime, so that one datagram may be lost.
 constexpr state::Duration waitingSharePeriod = std::chrono::milliseconds(100);
 constexpr state::Duration retryWithoutEngines = std::chrono::seconds(1);
 
@@ -24,8 +24,8 @@
 
 } // namespace
 
-// Without reserved memory only the prefill needs the helpers; what they prefilled is kept by the
-// engine that decodes.
+// Helpers without reserved memory are needed for the prefill only: the decoding engine keeps the KV
+// that they computed.
 bool Dispatcher::Flight::needs(const state::EndpointId &engine) const
 {
     if (this->plan.uses(engine))
@@ -36,13 +36,13 @@
 
 routing::PassRequest Dispatcher::passRequestOf(const CompletionRequest &request) const
 {
-    routing::PassRequest wanted;
-    wanted.promptTokens = request.promptTokens;
-    wanted.outputTokens = request.maximumOutputTokens * this->policy.expectedOutputShare;
-    wanted.memoryTokens = request.promptTokens + request.maximumOutputTokens;
-    wanted.firstTargetSeconds = std::chrono::duration<double>(request.firstTarget).count();
-    wanted.draw = workOf(request.id);
-    return wanted;
+    routing::PassRequest passRequest;
+    passRequest.promptTokens = request.promptTokens;
+    passRequest.outputTokens = request.maximumOutputTokens * this->policy.expectedOutputShare;
+    passRequest.memoryTokens = request.promptTokens + request.maximumOutputTokens;
+    passRequest.firstTargetSeconds = std::chrono::duration<double>(request.firstTarget).count();
+    passRequest.draw = workOf(request.id);
+    return passRequest;
 }
 
 std::optional<Refuse> Dispatcher::refusalByPasses(const CompletionRequest &request)
@@ -60,16 +60,17 @@
     const auto choice =
             this->engines.chooseByPasses(request.model, this->passRequestOf(request), this->now);
     if (!choice)
-        return std::nullopt; // waits for a place; placing it refuses it when it gets too late
-    state::Duration over = toDuration(choice->completionSeconds) - (request.deadline - this->now);
-    // Counted from now: a request that waited for the configuration or for engines is late already,
-    // and turning it away from idle engines would help nobody.
+        return std::nullopt; // it waits for a slot; placeByPasses() refuses it when it is too late
+    state::Duration overrun =
+            toDuration(choice->completionSeconds) - (request.deadline - this->now);
+    // Counted from now, not from arrival: a request that waited for the configuration or for
+    // engines is late already, and idle engines should still serve it.
     if (request.firstTarget > state::Duration(0)) {
         const state::Duration bound = std::chrono::duration_cast<state::Duration>(
                 request.firstTarget * this->policy.lateTolerance);
-        over = std::max(over, toDuration(choice->firstEventSeconds) - bound);
+        overrun = std::max(overrun, toDuration(choice->firstEventSeconds) - bound);
     }
-    std::optional<Refuse> refusal = this->refusalWhenOver(request, over);
+    std::optional<Refuse> refusal = this->refusalWhenOver(request, overrun);
     if (refusal) {
         refusal->predictedFirst = toDuration(choice->firstEventSeconds);
         refusal->look = choice->look;
@@ -77,27 +78,28 @@
     return refusal;
 }
 
-// `secondsBefore`: engine time of the prompts that wait and go first.
+// `secondsBefore`: engine time in seconds of the waiting prompts that go first.
 std::optional<Refuse> Dispatcher::longRefusal(const CompletionRequest &request,
                                               const routing::LongOutlook &outlook,
                                               double secondsBefore)
 {
     if (outlook.engines == 0)
-        return std::nullopt; // waits for an engine to come up
+        return std::nullopt; // it waits until an engine is available
     const state::Duration start =
             toDuration(outlook.backlogSeconds + secondsBefore / double(outlook.engines));
     const state::Duration first = start + toDuration(outlook.prefillSeconds);
     const state::Duration whole = first + toDuration(outlook.completionSeconds);
-    state::Duration over = whole - (request.deadline - this->now);
+    state::Duration overrun = whole - (request.deadline - this->now);
     if (request.firstTarget > state::Duration(0)) {
-        const auto patience = std::chrono::duration_cast<state::Duration>(
+        const auto startLimit = std::chrono::duration_cast<state::Duration>(
                 request.firstTarget * this->policy.passes.waitingShare);
-        over = std::max(over, start - patience);
+        overrun = std::max(overrun, start - startLimit);
     }
-    // Load that is too much for a long prompt now is rarely gone when the backlog of now is.
-    if (over <= state::Duration(0))
+    // The delay is longer than the backlog needs to drain: by then the load that is too high for a
+    // long prompt has rarely gone away.
+    if (overrun <= state::Duration(0))
         return std::nullopt;
-    std::optional<Refuse> refusal = this->refusalWhenOver(request, over * 2 + longRetryAfter);
+    std::optional<Refuse> refusal = this->refusalWhenOver(request, overrun * 2 + longRetryAfter);
     refusal->predictedFirst = first;
     refusal->queuedSeconds = secondsBefore;
     refusal->look = outlook.look;
@@ -105,12 +107,12 @@
 }
 
 std::optional<Refuse> Dispatcher::refusalWhenOver(const CompletionRequest &request,
-                                                  state::Duration over) const
+                                                  state::Duration overrun) const
 {
-    if (over <= state::Duration(0))
+    if (overrun <= state::Duration(0))
         return std::nullopt;
     return Refuse{request.id, RefusalReason::Deadline,
-                  std::clamp(over, shortestRetryAfter, longestRetryAfter), Ran::No};
+                  std::clamp(overrun, shortestRetryAfter, longestRetryAfter), Ran::No};
 }
 
 bool Dispatcher::isLong(const CompletionRequest &request) const
@@ -118,54 +120,53 @@
     return this->engines.isLong(request.model, request.promptTokens);
 }
 
-WaitingPrompt Dispatcher::waitingOf(const Flight &flight) const
+WaitingPrompt Dispatcher::waitingOf(const Flight &active) const
 {
     const routing::EngineView *view = nullptr;
-    for (const state::EndpointId &id : this->engines.watched(flight.request.model)) {
+    for (const state::EndpointId &id : this->engines.watched(active.request.model)) {
         view = this->engines.find(id);
         if (view->profile())
             break;
     }
     const double seconds =
-            state::routes::prefillSeconds(*view->profile(), flight.request.promptTokens);
-    return {flight.work, seconds, flight.request.arrival};
+            state::routes::prefillSeconds(*view->profile(), active.request.promptTokens);
+    return {active.work, seconds, active.request.arrival};
 }
 
-// The first of all that wait starts as soon as engines are free for it; nobody overtakes it, or the
-// longest ones would never find enough of them free.
+// Starts the prompt at the head of the queue as soon as engines are free for it. No prompt
+// overtakes it, or the longest ones would never find enough free engines.
 void Dispatcher::pumpLong()
 {
     while (const auto id = this->longQueue.head(this->now)) {
-        Flight &flight = this->flights.at(*id);
-        if (flight.notBefore > this->now || !this->placeByPasses(flight))
+        Flight &active = this->flights.at(*id);
+        if (active.notBefore > this->now || !this->placeByPasses(active))
             return;
     }
 }
 
-// A prompt that others have pushed back too far, or whose engines were lost, is told so now.
+// Refuses own prompts that have waited too long, behind others or because engines were lost.
 void Dispatcher::refuseHopeless()
 {
     for (const auto &[id, prompt] : this->longQueue.own()) {
-        const Flight &flight = this->flights.at(id);
-        const CompletionRequest &request = flight.request;
+        const Flight &active = this->flights.at(id);
+        const CompletionRequest &request = active.request;
         const bool hasTarget = request.firstTarget > state::Duration(0);
-        const state::Duration usual = hasTarget ? request.firstTarget : longestRetryAfter;
-        if (this->now - request.arrival > this->waitingPatience(flight, usual))
+        const state::Duration defaultWait = hasTarget ? request.firstTarget : longestRetryAfter;
+        if (this->now - request.arrival > this->waitingPatience(active, defaultWait))
             this->refuse(id, RefusalReason::Overload, retryWhenFull);
     }
 }
 
-// From arrival. One that has been on an engine waits on: it has been late since that engine failed
-// it, and its caller, who may have a part of the answer, leaves by itself when it has waited
-// enough.
-state::Duration Dispatcher::waitingPatience(const Flight &flight, state::Duration usual) const
+// The longest wait, counted from arrival. A request that has run on an engine may wait until its
+// deadline: that engine's failure has made it late already, and its caller, who may have a part of
+// the response, disconnects when it no longer wants to wait.
+state::Duration Dispatcher::waitingPatience(const Flight &active, state::Duration defaultWait) const
 {
-    const bool hasRun = flight.runs > 0;
-    return hasRun ? flight.request.deadline - flight.request.arrival : usual;
+    const bool hasRun = active.runs > 0;
+    return hasRun ? active.request.deadline - active.request.arrival : defaultWait;
 }
 
-// The others order their own prompts by what they know of these; what is not said again they
-// forget.
+// Peers rank their own prompts against these, and forget those that are not announced again.
 void Dispatcher::shareWaiting()
 {
     if (!this->longQueue.hasOwn() || this->now < this->longSharedAt + waitingSharePeriod)
@@ -175,65 +176,65 @@
         this->tellWaiting(this->flights.at(id), prompt, routing::WorkStage::Waiting);
 }
 
-void Dispatcher::tellWaiting(const Flight &flight, const WaitingPrompt &prompt,
+void Dispatcher::tellWaiting(const Flight &active, const WaitingPrompt &prompt,
                              routing::WorkStage stage)
 {
     routing::WorkNote note;
     note.stage = stage;
-    note.work = flight.work;
-    note.age = this->now - flight.request.arrival;
+    note.work = active.work;
+    note.age = this->now - active.request.arrival;
     note.engineTime = toDuration(prompt.engineSeconds);
     if (this->policy.shareWork)
         this->actions.emplace_back(ShareWork{note});
 }
 
-bool Dispatcher::placeByPasses(Flight &flight)
+bool Dispatcher::placeByPasses(Flight &active)
 {
-    const CompletionRequest &request = flight.request;
-    routing::PassRequest wanted = this->passRequestOf(request);
-    wanted.avoid = flight.failed;
-    const auto choice = this->engines.chooseByPasses(request.model, wanted, this->now);
+    const CompletionRequest &request = active.request;
+    routing::PassRequest passRequest = this->passRequestOf(request);
+    passRequest.avoid = active.failed;
+    const auto choice = this->engines.chooseByPasses(request.model, passRequest, this->now);
     if (!choice && this->isLong(request)) {
-        if (this->longQueue.findOwn(flight.work))
-            return false; // refuseHopeless() ends it when it has waited too long
-        // It was brief when it was queued: callers have since come who bear shorter pauses.
-        this->dequeue(flight);
-        this->enqueue(flight, true);
+        if (this->longQueue.findOwn(active.work))
+            return false; // refuseOverdue() ends it when it has waited too long
+        // It was brief when it was queued; callers that tolerate only shorter pauses came since.
+        this->dequeue(active);
+        this->enqueue(active, true);
         return true;
     }
     if (!choice) {
-        // No engine has room. It may wait for as long as it could still be in time then.
-        const state::Duration usual =
+        // No engine has capacity. The request may wait as long as it can still be in time.
+        const state::Duration defaultWait =
                 request.firstTarget > state::Duration(0) ? request.firstTarget / 2 : retryWhenFull;
-        if (this->now - request.arrival < this->waitingPatience(flight, usual))
+        if (this->now - request.arrival < this->waitingPatience(active, defaultWait))
             return false;
         const bool none = this->engines.watched(request.model).empty();
         this->refuse(request.id, none ? RefusalReason::UnknownModel : RefusalReason::Overload,
                      none ? retryWithoutEngines : retryWhenFull);
         return true;
     }
-    this->dequeue(flight);
-    flight.plan.parts = {{choice->engine, 0, request.promptTokens, 0, false}};
-    flight.helpers = choice->helpers;
-    flight.partSeconds = choice->partSeconds;
-    flight.predictedFirst = toDuration(choice->firstEventSeconds);
-    flight.look = choice->look;
-    ++flight.attempt;
+    this->dequeue(active);
+    active.plan.parts = {{choice->engine, 0, request.promptTokens, 0, false}};
+    active.helpers = choice->helpers;
+    active.partSeconds = choice->partSeconds;
+    active.predictedFirst = toDuration(choice->firstEventSeconds);
+    active.look = choice->look;
+    ++active.attempt;
     if (choice->memory.empty())
-        this->dispatchNext(flight);
+        this->dispatchNext(active);
     else
-        this->reserveTickets(flight, choice->memory);
+        this->reserveTickets(active, choice->memory);
     return true;
 }
 
-// The time of a part, in the tokens that the engine prefills in that time when there are no pairs
-// to count: the views let work proceed at that rate.
-std::uint32_t Dispatcher::partTokens(const Flight &flight) const
+// The prefill time of a part, as the number of tokens that the engine prefills in that time if
+// attention pairs cost nothing: EngineView advances work at that rate.
+std::uint32_t Dispatcher::partTokens(const Flight &active) const
 {
-    const routing::EngineView *view = this->engines.find(flight.plan.parts.front().engine);
+    const routing::EngineView *view = this->engines.find(active.plan.parts.front().engine);
     if (view == nullptr)
         return 0;
-    return std::uint32_t(flight.partSeconds / view->prefillSeconds(1));
+    return std::uint32_t(active.partSeconds / view->prefillSeconds(1));
 }
 
 void Dispatcher::applyNote(const routing::WorkNote &note)
--- a/src/coordination/admission/DispatcherPlacing.cpp
+++ b/src/coordination/admission/DispatcherPlacing.cpp
@@ -1,4 +1,4 @@
-// Admission of what arrives, and placing of what waits.
+// Admission of arriving requests and placement of waiting ones.
 #include "coordination/admission/Dispatcher.h"
 
 #include <algorithm>
@@ -10,16 +10,18 @@
 
 namespace {
 
-constexpr std::size_t headsPerBand = 3;     // rows tried per class: others of it need the same room
-constexpr std::size_t failuresPerClass = 2; // then what else is of that length waits too
-constexpr std::uint32_t firstPriorityTokens = 4'096; // shorter prompts go first of all
-constexpr int lastPriority = 9;
+// Rows tried in each group of equal priority and length class: the others need as much capacity.
+constexpr std::size_t headsPerGroup = 3;
+// After this many failed placements the rest of that length class waits as well.
+constexpr std::size_t failuresPerClass = 2;
+constexpr std::uint32_t highestPriorityTokens = 4'096; // shorter prompts have the highest priority
+constexpr int lowestPriority = 9;
 constexpr int ordinaryRowPriority = 5;
-constexpr double urgentSlackRatio = 2;     // time left / time needed, below which work is urgent
-constexpr double leadingQueueShare = 0.25; // of the queue limit, for rows ahead of their share
+constexpr double urgentSlackRatio = 2;   // time left / time needed, below which work is urgent
+constexpr double aheadQueueShare = 0.25; // of the queue limit, for rows ahead of their share
 constexpr std::uint32_t milli = 1'000;
-constexpr state::Duration leastRetryAfter = std::chrono::seconds(1);
-constexpr state::Duration mostRetryAfter = std::chrono::seconds(30);
+constexpr state::Duration minimumRetryAfter = std::chrono::seconds(1);
+constexpr state::Duration maximumRetryAfter = std::chrono::seconds(30);
 
 double toSeconds(state::Duration duration)
 {
@@ -29,8 +31,8 @@
 state::Duration retryAfter(double seconds)
 {
     const auto wanted = std::chrono::duration_cast<state::Duration>(
-            std::chrono::duration<double>(std::min(seconds, toSeconds(mostRetryAfter))));
-    return std::clamp(wanted, leastRetryAfter, mostRetryAfter);
+            std::chrono::duration<double>(std::min(seconds, toSeconds(maximumRetryAfter))));
+    return std::clamp(wanted, minimumRetryAfter, maximumRetryAfter);
 }
 
 } // namespace
@@ -42,15 +44,15 @@
         return Refuse{request.id, reason, after, Ran::No};
     };
     if (this->engines.watched(request.model).empty())
-        return refusal(RefusalReason::UnknownModel, mostRetryAfter);
+        return refusal(RefusalReason::UnknownModel, maximumRetryAfter);
     if (this->queue.size() >= this->policy.queuedRequestsLimit)
-        return refusal(RefusalReason::Overload, leastRetryAfter);
+        return refusal(RefusalReason::Overload, minimumRetryAfter);
     if (this->engines.worksInPasses(request.model))
         return this->refusalByPasses(request);
     if (this->policy.admitByDeadline) {
         const double left = toSeconds(request.deadline - this->now);
         const double waits = this->waitSeconds(request, lengthClass);
-        // The cheap bound first: under overload most refusals end here.
+        // The cheap lower bound first: under overload most refusals are decided here.
         double needed = this->idealSeconds(request);
         if (waits + needed > left)
             return refusal(RefusalReason::Deadline, retryAfter(waits + needed - left));
@@ -62,7 +64,7 @@
             query.prompt.priority = this->priorityOf(probe);
             const std::optional<routing::Choice> best = this->engines.choose(query, this->now);
             if (!best)
-                return refusal(RefusalReason::Overload, leastRetryAfter);
+                return refusal(RefusalReason::Overload, minimumRetryAfter);
             needed = best->prediction.completionSeconds;
         }
         const double total = (waits + needed) * this->policy.admissionMargin;
@@ -76,17 +78,17 @@
     return std::nullopt;
 }
 
-// Time that the request will wait in the entries before it may start. Fair queueing bounds it by
-// its row's own backlog over its share, and all backlog together drains at the fleet's rate.
+// Expected time in the entries' queues before the request may start. Fair queueing bounds it by the
+// backlog of its own row over that row's share; the whole backlog drains at the fleet's rate.
 double Dispatcher::waitSeconds(const CompletionRequest &request, LengthClass lengthClass) const
 {
     double peerTokens = 0;
     double weights = double(this->queue.weightWaiting());
-    for (const auto &[peer, noted] : this->peers) {
-        if (noted.second <= this->now)
+    for (const auto &[peer, backlog] : this->peers) {
+        if (backlog.second <= this->now)
             continue;
-        peerTokens += double(noted.first.waitingTokens[std::size_t(lengthClass)]);
-        weights += double(noted.first.waitingWeight);
+        peerTokens += double(backlog.first.waitingTokens[std::size_t(lengthClass)]);
+        weights += double(backlog.first.waitingWeight);
     }
     const double rate = this->engines.prefillRate(request.model);
     const state::TableKey key = request.tableKey();
@@ -104,14 +106,15 @@
         placed = false;
         const double least = this->queue.leastAnywhere(this->now).value_or(0);
         for (const QueueHead &head :
-             this->queue.heads(headsPerBand, this->policy.fairBurstTokens, this->now)) {
+             this->queue.heads(headsPerGroup, this->policy.fairBurstTokens, this->now)) {
             std::size_t &failed = failures[std::size_t(head.request.lengthClass)];
             if (failed >= failuresPerClass)
                 continue;
-            Flight &flight = this->flights.at(head.request.id);
+            Flight &active = this->flights.at(head.request.id);
             const double weight = this->queue.row(head.request.key).weight;
-            const bool leads = (head.service - least) * weight > this->policy.fairBurstTokens;
-            if (flight.notBefore <= this->now && this->place(flight, leads)) {
+            const bool aheadOfShare =
+                    (head.service - least) * weight > this->policy.fairBurstTokens;
+            if (active.notBefore <= this->now && this->place(active, aheadOfShare)) {
                 placed = true;
                 break;
             }
@@ -121,17 +124,17 @@
     this->pumpLong();
 }
 
-bool Dispatcher::place(Flight &flight, bool leads)
+bool Dispatcher::place(Flight &active, bool aheadOfShare)
 {
-    const CompletionRequest &request = flight.request;
+    const CompletionRequest &request = active.request;
     if (this->engines.worksInPasses(request.model))
-        return this->placeByPasses(flight);
+        return this->placeByPasses(active);
     const state::TableRow &row = this->queue.row(request.tableKey());
-    // What can't end in time any more is told so now; holding it until its deadline would keep its
-    // caller from trying elsewhere.
+    // A request that can no longer complete in time is refused now; holding it until its deadline
+    // would keep its caller from trying elsewhere.
     const double left = toSeconds(request.deadline - this->now);
     if (this->policy.admitByDeadline && this->idealSeconds(request) > left) {
-        this->refuse(request.id, RefusalReason::Deadline, leastRetryAfter);
+        this->refuse(request.id, RefusalReason::Deadline, minimumRetryAfter);
         return true;
     }
     if (row.fleetShareMilli < milli) {
@@ -139,97 +142,99 @@
         if (this->queue.tokensPerSecond(row.key, this->now) > rate * row.fleetShareMilli / milli)
             return false;
     }
-    if (flight.span)
-        return this->placeSpan(flight);
-    routing::ChoiceQuery query = this->queryOf(request, this->priorityOf(flight));
-    query.avoid = flight.avoid;
+    if (active.span)
+        return this->placeSpan(active);
+    routing::ChoiceQuery query = this->queryOf(request, this->priorityOf(active));
+    query.avoid = active.avoid;
     const std::optional<routing::Choice> choice = this->engines.choose(query, this->now);
     if (!choice && request.promptTokens >= this->policy.spanFromTokens) {
-        // No engine has room for all of it, several together may.
-        flight.span = this->placeSpan(flight);
-        return flight.span;
+        // No single engine can take all of it now; several together may.
+        active.span = this->placeSpan(active);
+        return active.span;
     }
     if (!choice)
         return false;
-    // Room above this share of the queue is kept for rows that are behind, at this entry or at
-    // another one. Without it a flow with many short requests takes each place that opens.
-    const double limit = toSeconds(this->policy.engineQueueLimit) * leadingQueueShare;
-    if (leads && this->policy.holdInEntry && choice->prediction.queueSeconds > limit)
+    // Rows ahead of their share may use only this part of an engine's queue; the rest is kept for
+    // rows behind theirs, at this entry or another one. Without the limit a flow of many short
+    // requests would take every slot that opens.
+    const double limit = toSeconds(this->policy.engineQueueLimit) * aheadQueueShare;
+    if (aheadOfShare && this->policy.holdInEntry && choice->prediction.queueSeconds > limit)
         return false;
-    this->queue.remove(this->queuedOf(flight));
+    this->queue.remove(this->queuedOf(active));
     const auto cached = std::uint32_t(choice->prediction.cachedTokens);
-    flight.plan.parts = {{choice->engine, 0, request.promptTokens, cached, false}};
-    ++flight.attempt;
-    this->dispatchNext(flight);
+    active.plan.parts = {{choice->engine, 0, request.promptTokens, cached, false}};
+    ++active.attempt;
+    this->dispatchNext(active);
     return true;
 }
 
-// The next slice, the next range, or the last piece with the decode behind it.
-void Dispatcher::dispatchNext(Flight &flight)
+// Dispatches the next slice of a part, the next part, or the last slice followed by decoding.
+void Dispatcher::dispatchNext(Flight &active)
 {
-    const std::size_t last = flight.plan.parts.size() - 1;
-    const std::size_t next = flight.plan.nextToPrefill().value_or(last);
-    if (flight.phase == Phase::Prefilling && next != flight.running)
-        this->tell(flight, flight.running, routing::WorkStage::Dispatched);
-    flight.running = next;
-    routing::SpanPart &part = flight.plan.parts[flight.running];
+    const std::size_t last = active.plan.parts.size() - 1;
+    const std::size_t next = active.plan.nextToPrefill().value_or(last);
+    if (active.phase == Phase::Prefilling && next != active.running)
+        this->tell(active, active.running, routing::WorkStage::Dispatched);
+    active.running = next;
+    routing::SpanPart &part = active.plan.parts[active.running];
     const std::uint32_t left = part.to - part.done;
-    const bool whole = flight.partSeconds > 0;
+    const bool whole = active.partSeconds > 0;
     const bool sliced = !whole && this->policy.sliceTokens > 0 && left > this->policy.sliceTokens;
     const std::uint32_t to = sliced ? part.done + this->policy.sliceTokens : part.to;
-    const std::uint8_t priority = this->priorityOf(flight);
+    const std::uint8_t priority = this->priorityOf(active);
     Dispatch dispatch;
-    dispatch.id = flight.request.id;
-    dispatch.attempt = flight.attempt;
+    dispatch.id = active.request.id;
+    dispatch.attempt = active.attempt;
     dispatch.engine = part.engine;
     dispatch.priority = priority;
     dispatch.from = part.done;
     dispatch.to = to;
-    dispatch.final = flight.running == last && to == part.to;
-    dispatch.resumeOffset = flight.received;
-    dispatch.helpers = flight.helpers;
-    for (const Flight::Ticket &ticket : flight.tickets)
+    dispatch.final = active.running == last && to == part.to;
+    dispatch.resumeOffset = active.received;
+    dispatch.helpers = active.helpers;
+    for (const Flight::Ticket &ticket : active.tickets)
         dispatch.helperLeases.push_back(ticket.lease);
-    dispatch.predictedFirst = flight.predictedFirst;
-    dispatch.look = flight.look;
-    if (flight.span) {
-        dispatch.lease = this->leaseOf(flight, flight.running);
-        for (std::size_t each = 0; each < flight.running; ++each) {
-            const routing::SpanPart &source = flight.plan.parts[each];
+    dispatch.predictedFirst = active.predictedFirst;
+    dispatch.look = active.look;
+    if (active.span) {
+        dispatch.lease = this->leaseOf(active, active.running);
+        for (std::size_t each = 0; each < active.running; ++each) {
+            const routing::SpanPart &source = active.plan.parts[each];
             dispatch.imports.push_back(
-                    {source.engine, this->leaseOf(flight, each), source.from, source.to});
+                    {source.engine, this->leaseOf(active, each), source.from, source.to});
         }
     }
     std::uint32_t charged = to - part.done;
     if (dispatch.final)
-        charged += flight.request.maximumOutputTokens;
-    flight.phase = Phase::Prefilling;
-    flight.handedOver = true;
+        charged += active.request.maximumOutputTokens;
+    active.phase = Phase::Prefilling;
+    active.handedOver = true;
     this->actions.emplace_back(dispatch);
-    this->tell(flight, flight.running, routing::WorkStage::Dispatched,
-               whole ? this->partTokens(flight) : left, charged, priority);
+    this->tell(active, active.running, routing::WorkStage::Dispatched,
+               whole ? this->partTokens(active) : left, charged, priority);
     if (routing::EngineView *view = this->engines.find(part.engine);
         view != nullptr && this->policy.useCacheEvents && part.from == 0 && dispatch.final)
-        view->prefixes().expect(flight.request.prefixBlocks);
+        view->prefixes().expect(active.request.prefixBlocks);
 }
 
-// 0 goes first. Short prompts come first; each doubling of the response ratio (time since arrival
-// over time alone) raises longer work by one, so that it ages at the pace at which it can afford to
-// wait; and work whose slack runs out goes right behind the short ones.
-std::uint8_t Dispatcher::priorityOf(const Flight &flight) const
+// 0 is the highest priority and is given to short prompts. Longer ones age: each doubling of the
+// response ratio (time since arrival / completion time on an idle engine) raises them by one level,
+// so that each ages at the pace at which it can afford to wait. Work that runs out of slack goes
+// right behind the short prompts.
+std::uint8_t Dispatcher::priorityOf(const Flight &active) const
 {
-    const CompletionRequest &request = flight.request;
+    const CompletionRequest &request = active.request;
     if (!this->policy.priorities)
         return ordinaryRowPriority;
-    // What waits is ordered here; among what was sent, brief requests go first.
+    // Waiting requests are ordered at the entry; on the engine, brief ones go first.
     constexpr std::uint8_t briefPriority = 2;
     if (this->engines.worksInPasses(request.model))
         return this->isLong(request) ? ordinaryRowPriority : briefPriority;
     const int rowShift = int(this->queue.row(request.tableKey()).priority) - ordinaryRowPriority;
-    if (request.promptTokens < firstPriorityTokens)
-        return std::uint8_t(std::clamp(rowShift, 0, lastPriority));
-    int priority = std::bit_width(request.promptTokens / firstPriorityTokens);
-    if (flight.span)
+    if (request.promptTokens < highestPriorityTokens)
+        return std::uint8_t(std::clamp(rowShift, 0, lowestPriority));
+    int priority = std::bit_width(request.promptTokens / highestPriorityTokens);
+    if (active.span)
         priority = std::min(priority, int(this->policy.spanPriority));
     const double ideal = std::max(this->idealSeconds(request), 0.001);
     const double waited = toSeconds(this->now - request.arrival);
@@ -237,7 +242,7 @@
     if (left < ideal * urgentSlackRatio)
         priority = 1;
     priority -= std::max(0, int(std::log2(std::max(waited / ideal, 1.0))));
-    return std::uint8_t(std::clamp(priority + rowShift, 1, lastPriority));
+    return std::uint8_t(std::clamp(priority + rowShift, 1, lowestPriority));
 }
 
 routing::ChoiceQuery Dispatcher::queryOf(const CompletionRequest &request,
@@ -270,22 +275,22 @@
     return promptTokens < this->policy.longPromptTokens ? LengthClass::Long : LengthClass::Huge;
 }
 
-QueuedRequest Dispatcher::queuedOf(const Flight &flight) const
+QueuedRequest Dispatcher::queuedOf(const Flight &active) const
 {
-    return {flight.request.id, flight.request.tableKey(), flight.lengthClass,
-            std::uint64_t(flight.request.promptTokens) + flight.request.maximumOutputTokens};
+    return {active.request.id, active.request.tableKey(), active.lengthClass,
+            std::uint64_t(active.request.promptTokens) + active.request.maximumOutputTokens};
 }
 
-void Dispatcher::enqueue(Flight &flight, bool front)
+void Dispatcher::enqueue(Flight &active, bool front)
 {
-    flight.phase = Phase::Queued;
-    if (this->isLong(flight.request)) {
-        const WaitingPrompt prompt = this->waitingOf(flight);
-        this->longQueue.add(flight.request.id, prompt);
-        this->tellWaiting(flight, prompt, routing::WorkStage::Waiting);
+    active.phase = Phase::Queued;
+    if (this->isLong(active.request)) {
+        const WaitingPrompt prompt = this->waitingOf(active);
+        this->longQueue.add(active.request.id, prompt);
+        this->tellWaiting(active, prompt, routing::WorkStage::Waiting);
         return;
     }
-    this->queue.push(this->queuedOf(flight), front, this->now);
+    this->queue.push(this->queuedOf(active), front, this->now);
 }
 
 double Dispatcher::idealSeconds(const CompletionRequest &request) const
--- a/src/coordination/admission/DispatcherSpans.cpp
+++ b/src/coordination/admission/DispatcherSpans.cpp
@@ -1,6 +1,6 @@
-// Prompts over one engine's memory: all ranges are reserved before the first one starts, in the
-// order of engine ids, and given back on every way out. What a crash of this entry leaves behind
-// ends with the leases.
+// Spans: prompts that exceed the memory of one engine and are split into parts on several engines.
+// All parts are reserved, in the order of engine ids, before the first one starts, and released
+// however the request ends. If this entry crashes, its reservations end with their leases.
 #include "coordination/admission/Dispatcher.h"
 
 #include <xxhash.h>
@@ -13,134 +13,135 @@
 
 namespace {
 
-constexpr int renewalsPerTtl = 3; // two renewals may be lost before a lease ends
+constexpr int renewalsPerTtl = 3; // two may be lost before the lease expires
 
 } // namespace
 
-bool Dispatcher::placeSpan(Flight &flight)
+bool Dispatcher::placeSpan(Flight &active)
 {
-    const CompletionRequest &request = flight.request;
-    // The largest prompts find the least often what they need. One that has waited for long may
-    // take the memory that is otherwise left to shorter prompts, and engines that are theirs.
-    routing::PolicySettings terms = this->policy;
+    const CompletionRequest &request = active.request;
+    // The largest prompts rarely find enough free memory. One that has waited long may also take
+    // the memory, and the engines, that are otherwise kept for shorter prompts.
+    routing::PolicySettings spanPolicy = this->policy;
     const double waited = std::chrono::duration<double>(this->now - request.arrival).count();
     if (waited > this->policy.spanPatience * this->idealSeconds(request)) {
-        terms.spanSpareShare = this->policy.spanLateSpareShare;
-        terms.spanPartShare = 1 - this->policy.spanLateSpareShare;
+        spanPolicy.spanSpareShare = this->policy.spanLateSpareShare;
+        spanPolicy.spanPartShare = 1 - this->policy.spanLateSpareShare;
     }
     auto plan = routing::planSpan(this->engines, request.model, request.promptTokens,
-                                  request.maximumOutputTokens, terms, this->now);
+                                  request.maximumOutputTokens, spanPolicy, this->now);
     if (!plan)
         return false;
-    this->queue.remove(this->queuedOf(flight));
-    flight.plan = std::move(*plan);
-    flight.phase = Phase::Reserving;
-    ++flight.attempt;
+    this->queue.remove(this->queuedOf(active));
+    active.plan = std::move(*plan);
+    active.phase = Phase::Reserving;
+    ++active.attempt;
     this->spans.insert(request.id);
-    this->reserveNext(flight);
+    this->reserveNext(active);
     return true;
 }
 
-void Dispatcher::reserveNext(Flight &flight)
+void Dispatcher::reserveNext(Flight &active)
 {
-    const std::optional<std::size_t> next = flight.plan.nextToReserve();
+    const std::optional<std::size_t> next = active.plan.nextToReserve();
     if (!next) {
-        this->dispatchNext(flight);
+        this->dispatchNext(active);
         return;
     }
-    flight.renewAt = this->now + this->policy.reservationTtl / renewalsPerTtl;
+    active.renewAt = this->now + this->policy.reservationTtl / renewalsPerTtl;
     this->actions.emplace_back(Reserve{
-            flight.request.id, flight.plan.parts[*next].engine, this->leaseOf(flight, *next),
-            this->partMemory(flight, *next), this->policy.reservationTtl});
+            active.request.id, active.plan.parts[*next].engine, this->leaseOf(active, *next),
+            this->partMemory(active, *next), this->policy.reservationTtl});
 }
 
 void Dispatcher::on(const ReservationAnswered &event)
 {
     const auto found = this->flights.find(event.id);
-    Flight *flight = found == this->flights.end() ? nullptr : &found->second;
-    if (flight != nullptr && !flight->tickets.empty()) {
-        this->ticketAnswered(*flight, event);
+    Flight *active = found == this->flights.end() ? nullptr : &found->second;
+    if (active != nullptr && !active->tickets.empty()) {
+        this->ticketAnswered(*active, event);
         return;
     }
     std::optional<std::size_t> part;
-    for (std::size_t each = 0; flight != nullptr && each < flight->plan.parts.size(); ++each) {
-        if (this->leaseOf(*flight, each) == event.lease)
+    for (std::size_t each = 0; active != nullptr && each < active->plan.parts.size(); ++each) {
+        if (this->leaseOf(*active, each) == event.lease)
             part = each;
     }
-    // Granted to a request that has ended or was planned anew meanwhile: memory that nobody would
-    // give back before the lease ends.
+    // The request has ended or has a new plan: without a release the memory would stay reserved
+    // until the lease expires.
     if (!part) {
         if (event.granted)
             this->actions.emplace_back(Release{event.id, event.engine, event.lease});
         return;
     }
     if (event.granted) {
-        const bool news = !flight->plan.parts[*part].reserved;
-        flight->plan.parts[*part].reserved = true;
-        if (news)
-            this->tell(*flight, *part, routing::WorkStage::Dispatched);
-        if (news && flight->phase == Phase::Reserving)
-            this->reserveNext(*flight);
+        const bool newlyReserved = !active->plan.parts[*part].reserved;
+        active->plan.parts[*part].reserved = true;
+        if (newlyReserved)
+            this->tell(*active, *part, routing::WorkStage::Dispatched);
+        if (newlyReserved && active->phase == Phase::Reserving)
+            this->reserveNext(*active);
         return;
     }
-    if (flight->phase != Phase::Reserving) {
-        // A renewal was refused: the engine no longer holds that range.
-        this->attemptLost(*flight, event.engine, false, false);
+    if (active->phase != Phase::Reserving) {
+        // A renewal was refused: the engine no longer holds that part.
+        this->attemptLost(*active, event.engine, false, false);
         this->pump();
         return;
     }
     // All or nothing: holding a part while waiting for the rest would starve other plans.
-    this->giveBack(*flight);
-    flight->plan = {};
-    flight->span = this->needsSpan(flight->request);
-    flight->notBefore = this->now + this->policy.reservationRetry;
-    this->enqueue(*flight, true);
+    this->giveBack(*active);
+    active->plan = {};
+    active->span = this->needsSpan(active->request);
+    active->notBefore = this->now + this->policy.reservationRetry;
+    this->enqueue(*active, true);
     this->pump();
 }
 
-void Dispatcher::giveBack(Flight &flight)
+void Dispatcher::giveBack(Flight &active)
 {
-    this->releaseTickets(flight);
-    if (this->spans.erase(flight.request.id) == 0)
+    this->releaseTickets(active);
+    if (this->spans.erase(active.request.id) == 0)
         return;
-    // Also what was asked for and not answered yet: its grant may be under way.
-    for (std::size_t each = 0; each < flight.plan.parts.size(); ++each) {
-        if (flight.plan.parts[each].reserved)
-            this->tell(flight, each, routing::WorkStage::Ended);
-        this->actions.emplace_back(Release{flight.request.id, flight.plan.parts[each].engine,
-                                           this->leaseOf(flight, each)});
+    // Also releases reservations without an answer: the grant may be on its way.
+    for (std::size_t each = 0; each < active.plan.parts.size(); ++each) {
+        if (active.plan.parts[each].reserved)
+            this->tell(active, each, routing::WorkStage::Ended);
+        this->actions.emplace_back(Release{active.request.id, active.plan.parts[each].engine,
+                                           this->leaseOf(active, each)});
     }
 }
 
-void Dispatcher::renew(Flight &flight)
+void Dispatcher::renew(Flight &active)
 {
-    flight.renewAt = this->now + this->policy.reservationTtl / renewalsPerTtl;
-    for (const Flight::Ticket &ticket : flight.tickets) {
-        this->actions.emplace_back(Reserve{flight.request.id, ticket.share.engine, ticket.lease,
-                                           ticket.share.tokens, this->policy.reservationTtl});
+    active.renewAt = this->now + this->policy.reservationTtl / renewalsPerTtl;
+    for (const Flight::Ticket &reservation : active.tickets) {
+        this->actions.emplace_back(Reserve{active.request.id, reservation.share.engine,
+                                           reservation.lease, reservation.share.tokens,
+                                           this->policy.reservationTtl});
     }
-    for (std::size_t each = 0; each < flight.plan.parts.size(); ++each) {
-        if (!flight.plan.parts[each].reserved)
+    for (std::size_t each = 0; each < active.plan.parts.size(); ++each) {
+        if (!active.plan.parts[each].reserved)
             continue;
         this->actions.emplace_back(Reserve{
-                flight.request.id, flight.plan.parts[each].engine, this->leaseOf(flight, each),
-                this->partMemory(flight, each), this->policy.reservationTtl});
+                active.request.id, active.plan.parts[each].engine, this->leaseOf(active, each),
+                this->partMemory(active, each), this->policy.reservationTtl});
     }
 }
 
-std::uint32_t Dispatcher::partMemory(const Flight &flight, std::size_t part) const
+std::uint32_t Dispatcher::partMemory(const Flight &active, std::size_t part) const
 {
-    const routing::SpanPart &range = flight.plan.parts[part];
-    const bool decodes = part + 1 == flight.plan.parts.size();
-    return range.to - range.from + (decodes ? flight.request.maximumOutputTokens : 0);
+    const routing::SpanPart &spanPart = active.plan.parts[part];
+    const bool decodes = part + 1 == active.plan.parts.size();
+    return spanPart.to - spanPart.from + (decodes ? active.request.maximumOutputTokens : 0);
 }
 
-std::string Dispatcher::leaseOf(const Flight &flight, std::size_t part) const
+std::string Dispatcher::leaseOf(const Flight &active, std::size_t part) const
 {
-    const std::string &engine = flight.plan.parts[part].engine.value();
+    const std::string &engine = active.plan.parts[part].engine.value();
     std::array<char, 64> name{};
     std::snprintf(name.data(), name.size(), "%016llx.%zu.%016llx",
-                  static_cast<unsigned long long>(flight.work), part,
+                  static_cast<unsigned long long>(active.work), part,
                   static_cast<unsigned long long>(XXH3_64bits(engine.data(), engine.size())));
     return name.data();
 }
--- a/src/coordination/admission/DispatcherTickets.cpp
+++ b/src/coordination/admission/DispatcherTickets.cpp
@@ -1,6 +1,6 @@
-// Memory at helpers for a prompt that its engine can't hold: all of it is reserved before the
-// prompt goes out, renewed while it is used, and given back on every way out. Leases are short, so
-// that what a crashed entry leaves behind is free again within seconds.
+// KV memory at helpers for a prompt that its engine can't hold. All of it is reserved before the
+// prompt is dispatched, renewed while in use, and released however the request ends. Leases are
+// short, so that the memory held by a crashed entry is free again within seconds.
 #include "coordination/admission/Dispatcher.h"
 
 #include <algorithm>
@@ -11,10 +11,10 @@
 
 namespace {
 
-constexpr int renewalsPerTtl = 3; // two may be lost before the lease ends
+constexpr int renewalsPerTtl = 3; // two may be lost before the lease expires
 constexpr state::Duration retryWhenReserved = std::chrono::milliseconds(500);
 
-// Never used twice: a reservation that is carried out late must not look like a later one.
+// Unique for each attempt: a reservation carried out late must not match one of a later attempt.
 std::string leaseName(std::uint64_t work, std::uint32_t attempt, std::size_t index)
 {
     std::array<char, 48> name{};
@@ -25,59 +25,60 @@
 
 } // namespace
 
-void Dispatcher::reserveTickets(Flight &flight, const std::vector<routing::MemoryShare> &memory)
+void Dispatcher::reserveTickets(Flight &active, const std::vector<routing::MemoryShare> &memory)
 {
-    flight.phase = Phase::Reserving;
-    flight.renewAt = this->now + this->policy.reservationTtl / renewalsPerTtl;
+    active.phase = Phase::Reserving;
+    active.renewAt = this->now + this->policy.reservationTtl / renewalsPerTtl;
     for (const routing::MemoryShare &share : memory) {
-        const std::string lease = leaseName(flight.work, flight.attempt, flight.tickets.size());
-        flight.tickets.push_back({share, lease, false});
-        this->actions.emplace_back(Reserve{flight.request.id, share.engine, lease, share.tokens,
+        const std::string lease = leaseName(active.work, active.attempt, active.tickets.size());
+        active.tickets.push_back({share, lease, false});
+        this->actions.emplace_back(Reserve{active.request.id, share.engine, lease, share.tokens,
                                            this->policy.reservationTtl});
     }
-    this->spans.insert(flight.request.id);
+    this->spans.insert(active.request.id);
 }
 
-void Dispatcher::ticketAnswered(Flight &flight, const ReservationAnswered &event)
+void Dispatcher::ticketAnswered(Flight &active, const ReservationAnswered &event)
 {
-    const auto ticket = std::ranges::find(flight.tickets, event.lease, &Flight::Ticket::lease);
-    if (ticket == flight.tickets.end()) {
-        // Of an earlier attempt: its memory is wanted by nobody.
+    const auto reservation = std::ranges::find(active.tickets, event.lease, &Flight::Ticket::lease);
+    if (reservation == active.tickets.end()) {
+        // It belongs to an earlier attempt; nobody needs its memory.
         if (event.granted)
             this->actions.emplace_back(Release{event.id, event.engine, event.lease});
         return;
     }
-    // Answers to renewals decide nothing: a lease that is lost shows in the stream.
-    if (flight.phase != Phase::Reserving)
+    // Answers to renewals are ignored: if a lease is lost, the stream fails.
+    if (active.phase != Phase::Reserving)
         return;
     if (event.granted) {
-        ticket->granted = true;
-        if (std::ranges::all_of(flight.tickets, &Flight::Ticket::granted))
-            this->dispatchNext(flight);
+        reservation->granted = true;
+        if (std::ranges::all_of(active.tickets, &Flight::Ticket::granted))
+            this->dispatchNext(active);
         return;
     }
-    // All or nothing: holding a part while waiting for the rest would starve others.
-    this->releaseTickets(flight);
-    flight.plan = {};
-    flight.helpers.clear();
-    const state::Duration patience = this->waitingPatience(flight, flight.request.firstTarget);
-    if (this->now - flight.request.arrival > patience) {
-        this->refuse(flight.request.id, RefusalReason::Overload, retryWhenReserved);
+    // All or nothing: holding a part while waiting for the rest would starve other requests.
+    this->releaseTickets(active);
+    active.plan = {};
+    active.helpers.clear();
+    const state::Duration maximumWait = this->waitingPatience(active, active.request.firstTarget);
+    if (this->now - active.request.arrival > maximumWait) {
+        this->refuse(active.request.id, RefusalReason::Overload, retryWhenReserved);
     } else {
-        flight.notBefore = this->now + this->policy.reservationRetry;
-        this->enqueue(flight, true);
+        active.notBefore = this->now + this->policy.reservationRetry;
+        this->enqueue(active, true);
     }
     this->pump();
 }
 
-// Also what was asked for and not answered: it may be granted yet.
-void Dispatcher::releaseTickets(Flight &flight)
+// Also releases reservations without an answer: they may still be granted.
+void Dispatcher::releaseTickets(Flight &active)
 {
-    for (const Flight::Ticket &ticket : flight.tickets)
-        this->actions.emplace_back(Release{flight.request.id, ticket.share.engine, ticket.lease});
-    if (!flight.tickets.empty())
-        this->spans.erase(flight.request.id);
-    flight.tickets.clear();
+    for (const Flight::Ticket &reservation : active.tickets)
+        this->actions.emplace_back(
+                Release{active.request.id, reservation.share.engine, reservation.lease});
+    if (!active.tickets.empty())
+        this->spans.erase(active.request.id);
+    active.tickets.clear();
 }
 
 } // namespace lavenderthread::coordination::admission
--- a/src/coordination/admission/Events.h
+++ b/src/coordination/admission/Events.h
@@ -1,5 +1,5 @@
-// What happens to a Dispatcher, and what it wants done. Plain values; the driver of an entry
-// translates its connections, timers and peers into events and carries the actions out in order.
+// Input events and output actions of a Dispatcher, as plain values. The driver of an entry turns
+// what comes from connections, timers and peers into events, and carries out the actions in order.
 #pragma once
 
 #include "coordination/admission/FairQueue.h"
@@ -34,14 +34,15 @@
     std::optional<state::routes::EngineProfile> profile; // if it works in declared passes
 };
 
-// Its attempts fail, or no longer do. New work avoids it; what it runs goes on.
+// Attempts on the engine fail, or succeed again. While suspected it gets no new work; work that
+// runs there goes on.
 struct EngineSuspected
 {
     state::EndpointId engine;
     bool suspected = true;
 };
 
-// The engine is lost: announcements ended, it restarted, or its connections fail.
+// The engine is lost: its announcements ended, it restarted, or its connections fail.
 struct EngineGone
 {
     state::EndpointId engine;
@@ -66,8 +67,8 @@
     std::vector<routing::CacheEvent> events;
 };
 
-// The engine has done a slice: the prompt is prefilled up to that token. Not sent for a dispatch
-// with `final` set; its end is the first token.
+// The engine has completed a slice: the prompt is prefilled up to, not including, token `upTo`. Not
+// sent for a dispatch with `final` set, whose prefill ends with the first output token.
 struct SlicePrefilled
 {
     state::RequestId id;
@@ -75,7 +76,7 @@
     std::uint32_t upTo = 0;
 };
 
-// Output up to, not including, nextOffset has come; the first one ends the prefill.
+// Output tokens up to, not including, nextOffset have arrived; the first event ends the prefill.
 struct TokensReceived
 {
     state::RequestId id;
@@ -89,8 +90,8 @@
     std::uint32_t attempt = 0;
 };
 
-// The engine refused the dispatch or its stream was cut while the engine lives. didNotRun only if
-// that is certain.
+// The engine refused the dispatch, or the stream broke while the engine is alive. didNotRun is set
+// only if it is certain that the request did not run.
 struct AttemptFailed
 {
     state::RequestId id;
@@ -98,7 +99,8 @@
     bool didNotRun = false;
 };
 
-// The engine has sent nothing for long, but its stream stands: may the request move to another?
+// The engine has sent nothing for long, but its stream is still open: may the request move to
+// another engine? Answered by MoveAnswered.
 struct MoveAsked
 {
     state::RequestId id;
@@ -123,13 +125,13 @@
     routing::WorkNote note;
 };
 
-// What waits at an entry; sent while something waits, and once more when nothing does.
+// Backlog of an entry. Sent periodically while requests wait, and once more when none does.
 struct BacklogNote
 {
     state::VmId entry;
-    double leastService = 0;                                  // of its waiting rows, per weight
+    double leastService = 0; // of its waiting rows; tokens per weight
     std::array<std::uint64_t, lengthClasses> waitingTokens{}; // in that class and shorter ones
-    std::uint64_t waitingWeight = 0;
+    std::uint64_t waitingWeight = 0; // total weight of its waiting rows; 0: none waits
 
     auto operator<=>(const BacklogNote &) const = default;
 
@@ -157,19 +159,19 @@
                      RequestFinished, AttemptFailed, MoveAsked, ReservationAnswered, TableChanged,
                      PeerWorkNoted, PeerBacklogNoted, Tick>;
 
-// Whether the request ran; No only when it is certain.
+// Whether the request ran; No only if that is certain.
 enum class Ran : std::uint8_t { No, Unknown };
 
 enum class RefusalReason : std::uint8_t {
-    UnknownModel,     // no engine that this entry knows serves it
-    TooLong,          // the watched engines can't hold it even together
-    Deadline,         // it can't end in time
-    Overload,         // the queue is full
-    Limit,            // the row's own limit
-    AttemptsExhausted // engines were lost under it and no retry is left
+    UnknownModel,     // no engine known to this entry serves the model
+    TooLong,          // the watched engines together can't hold the prompt
+    Deadline,         // it can't complete in time
+    Overload,         // the queue is full, or it has waited too long for capacity
+    Limit,            // a limit of its table row is exceeded
+    AttemptsExhausted // attempts failed and no retry is left or allowed
 };
 
-// KV of earlier ranges that a dispatch imports before it starts.
+// KV of an earlier part of the prompt, imported by the engine before the dispatch starts.
 struct KvSource
 {
     state::EndpointId engine;
@@ -180,26 +182,26 @@
     auto operator<=>(const KvSource &) const = default;
 };
 
-// Hand the request, or the next slice of it, to the engine.
+// Send the request, or its next slice, to the engine.
 struct Dispatch
 {
     state::RequestId id;
     std::uint32_t attempt = 0; // events of other attempts are ignored
     state::EndpointId engine;
     std::uint8_t priority = 0;
-    std::uint32_t from = 0; // prefill from this token on; what stands before is there or imported
-    std::uint32_t to = 0;
-    bool final = true;              // decode after the prefill
-    std::uint32_t resumeOffset = 0; // output tokens that the caller has already
-    std::string lease;              // the reservation that the range fills; empty if none
+    std::uint32_t from = 0; // first token to prefill; earlier KV is on the engine or imported
+    std::uint32_t to = 0;   // past the last token to prefill
+    bool final = true;      // decode after the prefill
+    std::uint32_t resumeOffset = 0; // output tokens that the caller has received already
+    std::string lease;              // reservation for this part's KV; empty if none
     std::vector<KvSource> imports;
-    std::vector<state::EndpointId> helpers; // prefill as much of the prompt as the engine, each
-    std::vector<std::string> helperLeases;  // memory reserved at the first of them, in their order
+    std::vector<state::EndpointId> helpers; // each prefills as much of the prompt as the engine
+    std::vector<std::string> helperLeases;  // memory reserved at the first helpers, in order
     state::Duration predictedFirst{0};      // from now to the first event; 0: not predicted
-    routing::PassLook look;                 // on engines that work in passes
+    routing::PassLook look;                 // basis of the decision, on engines that work in passes
 };
 
-// The final answer to a request that was not finished. Nothing more comes for it.
+// The final answer to a request that did not complete. No further action follows for its caller.
 struct Refuse
 {
     state::RequestId id;
@@ -207,10 +209,11 @@
     state::Duration retryAfter{0};
     Ran ran = Ran::No;
     state::Duration predictedFirst{0}; // from now to the first event; 0: not predicted
-    double queuedSeconds = 0; // engine time of the prompts that wait at entries and go first
-    routing::PassLook look;   // on engines that work in passes
+    double queuedSeconds = 0; // engine time of the prompts that wait at the entries and go first
+    routing::PassLook look;   // basis of the decision, on engines that work in passes
 };
 
+// The final answer to a request whose deadline has passed.
 struct Expire
 {
     state::RequestId id;
@@ -224,8 +227,9 @@
     state::EndpointId engine;
 };
 
-// To MoveAsked. If allowed, the retry is paid for: the relay gives the attempt up, and
-// AttemptFailed places the request again. If not, the relay goes on waiting for the engine.
+// The answer to MoveRequested. If allowed, the retry budget has paid for the next attempt: the
+// relay abandons the current one, and its AttemptFailed event places the request again. If not, the
+// relay keeps waiting for the engine.
 struct MoveAnswered
 {
     state::RequestId id;
@@ -233,7 +237,7 @@
     bool allowed = false;
 };
 
-// Take or renew a lease on engine memory through the endpoint's owner.
+// Acquire or renew a lease on engine memory through the endpoint's owner.
 struct Reserve
 {
     state::RequestId id;
@@ -250,7 +254,7 @@
     std::string lease;
 };
 
-// To the peers that route to note.engine.
+// Send to the peers that route to note.engine.
 struct ShareWork
 {
     routing::WorkNote note;
--- a/src/coordination/admission/FairQueue.cpp
+++ b/src/coordination/admission/FairQueue.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr double fairMemorySeconds = 10;
-constexpr double rebaseAfterSeconds = 2'000; // growth stays far below the largest double
+constexpr double serviceDecaySeconds = 10;
+constexpr double rebaseAfterSeconds = 2'000; // keeps decayScale() far below the largest double
 
 double secondsBetween(state::Instant from, state::Instant to)
 {
@@ -106,23 +106,23 @@
                                         state::Instant now) const
 {
     std::vector<QueueHead> within;
-    std::vector<QueueHead> leading;
+    std::vector<QueueHead> ahead;
     const double scale = this->growth(now);
     const double least = this->leastAnywhere(now).value_or(0);
     for (std::size_t each = 0; each < this->bands.size(); ++each) {
         std::size_t taken = 0;
-        for (const auto &[inflated, at] : this->bands[each]) {
+        for (const auto &[scaled, at] : this->bands[each]) {
             if (taken++ == limit)
                 break;
             const Flow &flow = this->flows[at];
-            const QueueHead head{flow.queues[each % lengthClasses].front(), inflated / scale,
+            const QueueHead head{flow.queues[each % lengthClasses].front(), scaled / scale,
                                  flow.row.priority};
             const double lead = (head.service - least) * flow.row.weight;
-            (lead > burstTokens ? leading : within).push_back(head);
+            (lead > burstTokens ? ahead : within).push_back(head);
         }
     }
-    std::ranges::sort(leading, {}, &QueueHead::service);
-    within.insert(within.end(), leading.begin(), leading.end());
+    std::ranges::sort(ahead, {}, &QueueHead::service);
+    within.insert(within.end(), ahead.begin(), ahead.end());
     return within;
 }
 
@@ -134,7 +134,7 @@
 
 double FairQueue::tokensPerSecond(const state::TableKey &key, state::Instant now) const
 {
-    return this->service(key, now) * this->row(key).weight / fairMemorySeconds;
+    return this->service(key, now) * this->row(key).weight / serviceDecaySeconds;
 }
 
 std::optional<double> FairQueue::leastService(state::Instant now) const
@@ -187,21 +187,21 @@
     return this->bands[priority * lengthClasses + lengthClass];
 }
 
-void FairQueue::setInflated(std::uint32_t at, double inflated)
+void FairQueue::setInflated(std::uint32_t at, double value)
 {
     Flow &flow = this->flows[at];
     for (std::size_t each = 0; each < lengthClasses; ++each) {
         if (flow.queues[each].empty())
             continue;
         this->band(flow, each).erase({flow.inflated, at});
-        this->band(flow, each).emplace(inflated, at);
+        this->band(flow, each).emplace(value, at);
     }
-    flow.inflated = inflated;
+    flow.inflated = value;
 }
 
 double FairQueue::growth(state::Instant now) const
 {
-    return std::exp(secondsBetween(this->epoch, now) / fairMemorySeconds);
+    return std::exp(secondsBetween(this->epoch, now) / serviceDecaySeconds);
 }
 
 void FairQueue::rebase(state::Instant now)
--- a/src/coordination/admission/FairQueue.h
+++ b/src/coordination/admission/FairQueue.h
@@ -1,9 +1,11 @@
-// Weighted fair order of the waiting requests, by tokens, over (client account, work class).
+// Weighted fair queueing of waiting requests by tokens, with a flow for each table row, that is,
+// each (client account, work class).
 //
-// Each row's service is its tokens given by any entry, decayed over fairMemory and divided by its
-// weight; the row with the least goes first. All entries charge the same work notes, so that they
-// agree on who is behind without asking anybody. A row that was idle starts level with the least
-// served waiting one, so that idling saves up nothing.
+// The service of a row is the number of its tokens that any entry has dispatched, decayed
+// exponentially with a time constant of serviceDecaySeconds and divided by the row's weight; the
+// row with the least service goes first. All entries charge the same work notes, so they agree on
+// the order without coordination. An idle row that becomes active starts with at least the service
+// of the least served waiting row, so being idle earns no credit.
 #pragma once
 
 #include "state/Ids.h"
@@ -21,7 +23,8 @@
 
 namespace lavenderthread::coordination::admission {
 
-// By prompt length, PolicySettings' three bounds. Shorter goes first among rows within their share.
+// Class of a prompt by its length; the three bounds are in PolicySettings. Among rows within their
+// share the shorter class goes first.
 enum class LengthClass : std::uint8_t { Short, Medium, Long, Huge };
 constexpr std::size_t lengthClasses = 4;
 
@@ -30,19 +33,21 @@
     state::RequestId id;
     state::TableKey key;
     LengthClass lengthClass = LengthClass::Short;
-    std::uint64_t tokens = 0;
+    std::uint64_t tokens = 0; // prompt and maximum output
 };
 
+// The first waiting request of a row and length class.
 struct QueueHead
 {
     QueuedRequest request;
-    double service = 0; // decayed tokens per weight of its row
-    std::uint8_t priority = 0;
+    double service = 0;        // of its row: decayed tokens per weight
+    std::uint8_t priority = 0; // of its row
 };
 
 class FairQueue
 {
 public:
+    // Ignored if it is older than the known version of the row.
     void setRow(const state::TableRow &row);
     const state::TableRow &row(const state::TableKey &key) const;
 
@@ -50,15 +55,18 @@
     bool remove(const QueuedRequest &request);
     void charge(const state::TableKey &key, double tokens, state::Instant now);
 
-    // The first `limit` waiting rows' heads of each (priority, length class), in the order in which
-    // they should be tried; rows that lead the least served one by more than burstTokens last.
+    // The heads of the `limit` least served waiting rows of each (priority, length class), in the
+    // order in which placement should try them. Rows that are ahead of the least served one by more
+    // than burstTokens come last.
     std::vector<QueueHead> heads(std::size_t limit, double burstTokens, state::Instant now) const;
 
-    double service(const state::TableKey &key, state::Instant now) const; // per weight
+    double service(const state::TableKey &key, state::Instant now) const; // tokens per weight
     double tokensPerSecond(const state::TableKey &key, state::Instant now) const;
     std::optional<double> leastService(state::Instant now) const; // over the waiting rows
-    // The least service among rows that wait at peers; an own row that wakes starts level with it.
+    // The least service among the rows that wait at peers; nothing if none waits. It counts for the
+    // initial service of an own row that becomes active.
     void setPeersLeast(std::optional<double> least) { this->peersLeast = least; }
+    // Over the waiting rows here and at peers.
     std::optional<double> leastAnywhere(state::Instant now) const;
 
     std::size_t size() const { return this->waiting; }
@@ -68,10 +76,11 @@
     std::size_t rows() const { return this->flows.size(); }
 
 private:
+    // The state of one table row.
     struct Flow
     {
         state::TableRow row;
-        double inflated = 0; // service times growth at the time it was given
+        double inflated = 0; // service times decayScale(); decay leaves it unchanged
         std::uint64_t tokens = 0;
         std::size_t waiting = 0;
         std::array<std::deque<QueuedRequest>, lengthClasses> queues;
@@ -80,25 +89,28 @@
     {
         std::size_t operator()(const state::TableKey &key) const noexcept;
     };
-    using Band = std::set<std::pair<double, std::uint32_t>>; // inflated service, index of the flow
+    // Ordered by scaled service; the second member is the index of the flow.
+    using Band = std::set<std::pair<double, std::uint32_t>>;
 
     static constexpr std::size_t priorities = 10;
 
     std::uint32_t flowOf(const state::TableKey &key);
     Band &band(const Flow &flow, std::size_t lengthClass);
-    void setInflated(std::uint32_t index, double inflated);
+    void setInflated(std::uint32_t index, double value);
+    // The factor by which services have decayed since the epoch. Scaled services are divided by it
+    // when read, so decay needs no update of all flows.
     double growth(state::Instant now) const;
     void rebase(state::Instant now);
 
     std::unordered_map<state::TableKey, std::uint32_t, KeyHash> index;
     std::vector<Flow> flows;
-    // Rows with a waiting request of that priority and class, by service. Decay scales all rows
-    // alike, so the order holds between charges.
+    // Rows with a waiting request, for each (priority, length class), ordered by service. Decay
+    // scales all rows equally, so the order holds between charges.
     std::array<Band, priorities * lengthClasses> bands;
     std::array<std::uint64_t, lengthClasses> waitingTokens{};
     std::size_t waiting = 0;
     std::uint64_t waitingWeight = 0;
-    state::Instant epoch{}; // growth is 1 here
+    state::Instant epoch{}; // when decayScale() is 1
     std::optional<double> peersLeast;
 };
 
--- a/src/coordination/admission/LongQueue.cpp
+++ b/src/coordination/admission/LongQueue.cpp
@@ -4,9 +4,9 @@
 
 LongQueue::Rank LongQueue::rankOf(const WaitingPrompt &prompt) const
 {
-    const auto behind = std::chrono::duration_cast<state::Duration>(std::chrono::duration<double>(
+    const auto penalty = std::chrono::duration_cast<state::Duration>(std::chrono::duration<double>(
             prompt.engineSeconds * this->settings.secondsPerEngineSecond));
-    return {prompt.arrival + behind, prompt.work};
+    return {prompt.arrival + penalty, prompt.work};
 }
 
 void LongQueue::add(const state::RequestId &id, const WaitingPrompt &prompt)
@@ -31,7 +31,7 @@
 void LongQueue::notePeer(const WaitingPrompt &prompt, state::Instant now)
 {
     if (this->ids.contains(prompt.work))
-        return; // an echo of an own one
+        return; // an own prompt, sent back by a peer
     this->remove(prompt.work);
     const Rank rank = this->rankOf(prompt);
     this->order[rank] = {prompt, now + this->settings.peerLife};
--- a/src/coordination/admission/LongQueue.h
+++ b/src/coordination/admission/LongQueue.h
@@ -1,9 +1,9 @@
-// The order in which long prompts start, over all entries.
+// A queue of long prompts whose order is the same at all entries.
 //
-// Engines share their time among all prompts that they prefill at once, so prompts that start
-// together all end late. Each entry therefore keeps its own long prompts back and tells the others
-// of them; one starts when it is the first of all and engines are free. Every entry orders what it
-// knows by the same rank, so no entry has to ask another.
+// An engine divides its time among all prompts that it prefills concurrently, so prompts that start
+// together all complete late. Each entry therefore holds back its own long prompts and announces
+// them to its peers; a prompt starts when it ranks first among all and engines are free. Every
+// entry computes the same ranks from what it knows, so no coordination round is needed.
 #pragma once
 
 #include "state/Ids.h"
@@ -18,35 +18,36 @@
 
 struct LongQueueSettings
 {
-    // A prompt's rank is its arrival plus this many times its engine time: shorter ones go first,
-    // and longer ones catch up as they wait.
+    // A prompt's rank is its arrival plus this factor times its engine time: shorter prompts go
+    // first, and longer ones catch up as they wait.
     double secondsPerEngineSecond = 0.5;
-    // What a peer has told is forgotten after this long unless it says so again: an entry that was
-    // killed or cut off would hold up all the others.
+    // A peer's prompt is forgotten after this time unless it is announced again. Otherwise a
+    // crashed or partitioned entry would block all the others.
     state::Duration peerLife = std::chrono::milliseconds(250);
 };
 
 struct WaitingPrompt
 {
-    std::uint64_t work = 0;   // hash of the request's id
+    std::uint64_t work = 0;   // hash of the request id
     double engineSeconds = 0; // to prefill it
     state::Instant arrival;
 };
 
+// Holds the long prompts that wait at this entry and those that peers have announced.
 class LongQueue
 {
 public:
-    explicit LongQueue(LongQueueSettings chosen = {})
-        : settings(chosen)
+    explicit LongQueue(LongQueueSettings queueSettings = {})
+        : settings(queueSettings)
     {}
 
     void add(const state::RequestId &id, const WaitingPrompt &prompt);
-    void remove(std::uint64_t work); // own or a peer's: it has started or ended
+    void remove(std::uint64_t work); // an own or a peer's prompt that has started or ended
     void notePeer(const WaitingPrompt &prompt, state::Instant now);
 
-    // The own prompt that may start now: the first of all that wait anywhere.
+    // The first prompt of the order if it is an own one, which may start now; nothing otherwise.
     std::optional<state::RequestId> head(state::Instant now);
-    // Engine time of all that wait and go before this prompt.
+    // Engine time, in seconds, of all waiting prompts that go before this one.
     double secondsBefore(const WaitingPrompt &prompt, state::Instant now) const;
     std::vector<std::pair<state::RequestId, WaitingPrompt>> own() const;
     std::optional<WaitingPrompt> findOwn(std::uint64_t work) const;
@@ -63,16 +64,16 @@
     struct Entry
     {
         WaitingPrompt prompt;
-        state::Instant expires; // of a peer's
+        state::Instant expires; // Instant::max() for own prompts
     };
 
     Rank rankOf(const WaitingPrompt &prompt) const;
     void dropExpired(state::Instant now);
 
     LongQueueSettings settings;
-    std::map<Rank, Entry> order;                   // own ones and peers'
-    std::map<std::uint64_t, Rank> ranks;           // exactly those of `order`
-    std::map<std::uint64_t, state::RequestId> ids; // of the own ones
+    std::map<Rank, Entry> order;                   // own and peers' prompts
+    std::map<std::uint64_t, Rank> ranks;           // by work id; the same prompts as in `byRank`
+    std::map<std::uint64_t, state::RequestId> ids; // by work id; own prompts only
 };
 
 } // namespace lavenderthread::coordination::admission
--- a/src/coordination/admission/Request.h
+++ b/src/coordination/admission/Request.h
@@ -1,4 +1,4 @@
-// A completion as admission sees it: who asks, how much, and until when.
+// A completion request as admission sees it: account, size and deadline.
 #pragma once
 
 #include "state/Ids.h"
@@ -11,10 +11,10 @@
 
 namespace lavenderthread::coordination::admission {
 
-// Immutable. Built by the entry once the body has been read.
+// Immutable. Built by the entry after it has read the body.
 struct CompletionRequest
 {
-    state::RequestId id; // unique over all entries
+    state::RequestId id; // unique across all entries
     state::ClientAccountId account;
     state::WorkClass workClass;
     state::ModelName model;
@@ -24,9 +24,9 @@
     state::Instant arrival;
     state::Instant deadline;
     bool idempotent = true;
-    state::Duration firstTarget{0}; // from arrival to the first event, as asked; 0: none is set
-    state::Duration pause{0};       // between events that the caller bears; 0: not known
-    std::uint32_t attempts = 0;     // engines that it may run on; 0: as the policy has it
+    state::Duration firstTarget{0}; // from arrival to the first event, as requested; 0: none
+    state::Duration pause{0};   // longest that the caller tolerates between events; 0: not known
+    std::uint32_t attempts = 0; // engines that it may run on; 0: the limit of the policy
 
     auto operator<=>(const CompletionRequest &) const = default;
 
--- a/src/coordination/admission/RetryBudget.h
+++ b/src/coordination/admission/RetryBudget.h
@@ -1,24 +1,27 @@
-// Bounds retries to a share of recent successes.
+// Limits retries to a fraction of recent successes.
 #pragma once
 
 #include <algorithm>
 
 namespace lavenderthread::coordination::admission {
 
-// A dead engine makes every entry retry at once; without a bound the retries add load to a fleet
-// that has just lost capacity, more work misses its deadline, and more is retried. A budget that
-// only successes refill dies out by itself.
+// A token bucket that successful requests refill and retries drain. When an engine fails, every
+// entry retries at once. Without a limit the retries add load to a fleet that has just lost
+// capacity, more requests miss their deadlines, and more are retried. Since only successes refill
+// the budget, such a retry storm ends by itself.
 class RetryBudget
 {
 public:
-    RetryBudget(double perSuccess, double most)
-        : share(perSuccess)
-        , burst(most)
-        , left(most)
+    RetryBudget(double refillPerSuccess, double maximum)
+        : share(refillPerSuccess)
+        , burst(maximum)
+        , left(maximum)
     {}
 
+    // Refills the budget after a successful request.
     void succeeded() { this->left = std::min(this->burst, this->left + this->share); }
 
+    // Pays for one retry; false if the budget is exhausted.
     bool take()
     {
         if (this->left < 1)
--- a/tests/coordination/admission/DispatcherFixture.h
+++ b/tests/coordination/admission/DispatcherFixture.h
@@ -1,4 +1,4 @@
-// A Dispatcher with a few engines, and shorthands to drive it.
+// A Dispatcher with a few engines, and helpers to feed it events and inspect its actions.
 #pragma once
 
 #include "coordination/admission/Dispatcher.h"
@@ -58,7 +58,7 @@
         return this->last;
     }
 
-    // Actions of one kind among the last event's.
+    // The actions of one type that the last event caused.
     template <typename Kind>
     std::vector<Kind> got() const
     {
@@ -70,6 +70,7 @@
         return found;
     }
 
+    // Asserts that the last event caused exactly one action of that type.
     template <typename Kind>
     Kind only() const
     {
--- a/tests/coordination/admission/DispatcherPassesTest.cpp
+++ b/tests/coordination/admission/DispatcherPassesTest.cpp
@@ -1,4 +1,4 @@
-// Requests on engines that work in passes, when an engine falls silent or is lost under them.
+// Dispatcher on engines that work in passes: silent and lost engines, waiting and refusals.
 #include "PassPlans.h"
 #include "coordination/admission/DispatcherFixture.h"
 
@@ -12,17 +12,17 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr std::uint32_t longPrompt = 100'000; // over half a second of prefill
+constexpr std::uint32_t longPrompt = 100'000; // takes over half a second of prefill
 
 state::routes::EngineProfile profile()
 {
     return bench::heavyDay(1).profile;
 }
 
-// Some engines, and one long prompt on one of them.
-struct Rig : DispatcherFixture
+// Several engines, and one long prompt dispatched to one of them.
+struct PassesFixture : DispatcherFixture
 {
-    explicit Rig(const routing::PolicySettings &policy = {})
+    explicit PassesFixture(const routing::PolicySettings &policy = {})
         : DispatcherFixture(0, policy)
     {
         for (std::size_t index = 0; index < engines; ++index) {
@@ -32,23 +32,23 @@
             this->handle(EngineAnnounced{description, profile()});
         }
         this->handle(RequestArrived{this->longRequest()});
-        this->sent = this->only<Dispatch>();
+        this->firstDispatch = this->only<Dispatch>();
     }
 
     CompletionRequest longRequest() const
     {
-        CompletionRequest wanted = this->request("long", longPrompt);
-        wanted.firstTarget = milliseconds(1'500);
-        wanted.pause = milliseconds(500);
-        wanted.deadline = this->now + seconds(10);
-        wanted.idempotent = true;
-        wanted.attempts = 2;
-        return wanted;
+        CompletionRequest result = this->request("long", longPrompt);
+        result.firstTarget = milliseconds(1'500);
+        result.pause = milliseconds(500);
+        result.deadline = this->now + seconds(10);
+        result.idempotent = true;
+        result.attempts = 2;
+        return result;
     }
 
     bool mayMove(std::uint32_t attempt)
     {
-        this->handle(MoveAsked{this->sent.id, attempt});
+        this->handle(MoveAsked{this->firstDispatch.id, attempt});
         return this->only<MoveAnswered>().allowed;
     }
 
@@ -59,7 +59,7 @@
     }
 
     static constexpr std::size_t engines = 4;
-    Dispatch sent; // the first one
+    Dispatch firstDispatch;
 };
 
 } // namespace
@@ -67,160 +67,168 @@
 class DispatcherPassesTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(DispatcherPassesTest);
-    CPPUNIT_TEST(silentEngineIsLeftOnlyForAnother);
-    CPPUNIT_TEST(movedPromptWaitsBeyondItsTarget);
-    CPPUNIT_TEST(moveIsPaidForOnce);
+    CPPUNIT_TEST(silentEngineIsLeftOnlyIfAttemptRemains);
+    CPPUNIT_TEST(movedPromptMayWaitBeyondItsTarget);
+    CPPUNIT_TEST(moveTakesOneRetryFromBudget);
     CPPUNIT_TEST(lastEngineServesLongPromptsToo);
-    CPPUNIT_TEST(waitingPromptOutlivesItsEngines);
-    CPPUNIT_TEST(idleEnginesServeWhatIsLateAlready);
-    CPPUNIT_TEST(briefRequestBehindALongPartIsServed);
-    CPPUNIT_TEST(whatIsBriefFollowsTheTightestPause);
+    CPPUNIT_TEST(waitingPromptSurvivesLossOfAllEngines);
+    CPPUNIT_TEST(idleEnginesServeLateRequests);
+    CPPUNIT_TEST(briefRequestBehindLongPartIsServed);
+    CPPUNIT_TEST(briefBoundFollowsShortestPause);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // A caller has a part of its answer when the engine falls silent. The request may run on two
-    // engines: it leaves the first for a second, and must stay with the second, whose silence is no
-    // reason to cut the answer.
-    void silentEngineIsLeftOnlyForAnother()
+    // An engine falls silent after the caller has received a part of its answer. The request may
+    // run on two engines: it moves from the first to a second, and must stay there even if the
+    // second one is silent, since giving up would cut the answer off.
+    void silentEngineIsLeftOnlyIfAttemptRemains()
     {
-        Rig rig;
-        CPPUNIT_ASSERT(rig.mayMove(rig.sent.attempt));
-        rig.handle(AttemptFailed{rig.sent.id, rig.sent.attempt, false});
-        const Dispatch second = rig.only<Dispatch>();
-        CPPUNIT_ASSERT(second.engine != rig.sent.engine);
-        CPPUNIT_ASSERT(!rig.mayMove(second.attempt));
-        CPPUNIT_ASSERT(!rig.mayMove(rig.sent.attempt)); // an attempt that is over
+        PassesFixture fixture;
+        CPPUNIT_ASSERT(fixture.mayMove(fixture.firstDispatch.attempt));
+        fixture.handle(
+                AttemptFailed{fixture.firstDispatch.id, fixture.firstDispatch.attempt, false});
+        const Dispatch second = fixture.only<Dispatch>();
+        CPPUNIT_ASSERT(second.engine != fixture.firstDispatch.engine);
+        CPPUNIT_ASSERT(!fixture.mayMove(second.attempt));
+        CPPUNIT_ASSERT(!fixture.mayMove(fixture.firstDispatch.attempt)); // that attempt has ended
     }
 
-    // The first engine fell silent after the caller had some events, two seconds after the request
-    // came. No engine is free for it just then. It used to be refused in the next moment, since it
-    // had waited longer than a new prompt may, and its caller's answer was cut in the middle.
-    void movedPromptWaitsBeyondItsTarget()
+    // The first engine falls silent two seconds after the request arrived, when the caller has
+    // received some events, and no other engine is free at that time. Guards against refusing the
+    // request at once because it has waited longer than a new prompt may: its answer would be cut
+    // off in the middle.
+    void movedPromptMayWaitBeyondItsTarget()
     {
-        Rig rig;
-        rig.handle(TokensReceived{rig.sent.id, rig.sent.attempt, 1});
-        rig.now += seconds(2);
-        CPPUNIT_ASSERT(rig.mayMove(rig.sent.attempt));
-        rig.setDraining(true);
-        rig.handle(AttemptFailed{rig.sent.id, rig.sent.attempt, false});
-        rig.now += seconds(1);
-        rig.handle(Tick{});
-        CPPUNIT_ASSERT(rig.got<Refuse>().empty());
-        rig.setDraining(false);
-        rig.handle(Tick{});
-        CPPUNIT_ASSERT_EQUAL(std::size_t(0), rig.dispatcher->waiting());
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), rig.dispatcher->inFlight());
+        PassesFixture fixture;
+        fixture.handle(TokensReceived{fixture.firstDispatch.id, fixture.firstDispatch.attempt, 1});
+        fixture.now += seconds(2);
+        CPPUNIT_ASSERT(fixture.mayMove(fixture.firstDispatch.attempt));
+        fixture.setDraining(true);
+        fixture.handle(
+                AttemptFailed{fixture.firstDispatch.id, fixture.firstDispatch.attempt, false});
+        fixture.now += seconds(1);
+        fixture.handle(Tick{});
+        CPPUNIT_ASSERT(fixture.got<Refuse>().empty());
+        fixture.setDraining(false);
+        fixture.handle(Tick{});
+        CPPUNIT_ASSERT_EQUAL(std::size_t(0), fixture.dispatcher->waiting());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), fixture.dispatcher->inFlight());
     }
 
-    // The budget has one retry left. Asking takes it, and the failure that follows takes no other.
-    void moveIsPaidForOnce()
+    // The retry budget allows one retry. The move request takes it, and the failure that follows
+    // must not take another.
+    void moveTakesOneRetryFromBudget()
     {
         routing::PolicySettings policy;
         policy.retryBurst = 1;
-        Rig rig(policy);
-        CPPUNIT_ASSERT(rig.mayMove(rig.sent.attempt));
-        CPPUNIT_ASSERT(rig.mayMove(rig.sent.attempt)); // the relay heard something and asks again
-        const auto retried = rig.dispatcher->counts().retried;
-        rig.handle(AttemptFailed{rig.sent.id, rig.sent.attempt, false});
-        CPPUNIT_ASSERT_EQUAL(retried + 1, rig.dispatcher->counts().retried);
-        CPPUNIT_ASSERT(rig.got<Refuse>().empty());
+        PassesFixture fixture(policy);
+        CPPUNIT_ASSERT(fixture.mayMove(fixture.firstDispatch.attempt));
+        // The engine sent something, and the relay asks again.
+        CPPUNIT_ASSERT(fixture.mayMove(fixture.firstDispatch.attempt));
+        const auto retried = fixture.dispatcher->counts().retried;
+        fixture.handle(
+                AttemptFailed{fixture.firstDispatch.id, fixture.firstDispatch.attempt, false});
+        CPPUNIT_ASSERT_EQUAL(retried + 1, fixture.dispatcher->counts().retried);
+        CPPUNIT_ASSERT(fixture.got<Refuse>().empty());
     }
 
-    // A long prompt waits while its model's engines all end. The entry tells its peers again and
-    // again of what waits; it reckoned the prompt's engine time anew from the engines that it knew,
-    // and with none left it crashed.
-    void waitingPromptOutlivesItsEngines()
+    // A long prompt waits while all engines of its model leave. The entry announces waiting prompts
+    // to its peers periodically. Guards against computing the prompt's engine time anew for that
+    // from the known engines, which crashed when there was none.
+    void waitingPromptSurvivesLossOfAllEngines()
     {
-        Rig rig;
-        rig.setDraining(true);
-        CompletionRequest next = rig.longRequest();
+        PassesFixture fixture;
+        fixture.setDraining(true);
+        CompletionRequest next = fixture.longRequest();
         next.id = state::RequestId("next");
-        rig.handle(RequestArrived{next});
-        for (std::size_t index = 0; index < Rig::engines; ++index)
-            rig.handle(EngineGone{Rig::engine(index).id});
-        rig.now += milliseconds(200);
-        rig.handle(Tick{});
-        CPPUNIT_ASSERT(!rig.got<ShareWork>().empty());
-        rig.handle(CallerCancelled{next.id});
-        CPPUNIT_ASSERT_EQUAL(std::size_t(0), rig.dispatcher->waiting());
+        fixture.handle(RequestArrived{next});
+        for (std::size_t index = 0; index < PassesFixture::engines; ++index)
+            fixture.handle(EngineGone{PassesFixture::engine(index).id});
+        fixture.now += milliseconds(200);
+        fixture.handle(Tick{});
+        CPPUNIT_ASSERT(!fixture.got<ShareWork>().empty());
+        fixture.handle(CallerCancelled{next.id});
+        CPPUNIT_ASSERT_EQUAL(std::size_t(0), fixture.dispatcher->waiting());
     }
 
-    // Guards against refusals by idle engines after a restart of all entries: requests that had
-    // waited for the configuration past their targets were sent away, though they had no try left.
-    void idleEnginesServeWhatIsLateAlready()
+    // After a restart of all entries, requests wait for the configuration until past their targets.
+    // Guards against refusing them, with no retry left, although the engines are idle.
+    void idleEnginesServeLateRequests()
     {
-        Rig rig;
-        rig.handle(RequestFinished{rig.sent.id, rig.sent.attempt});
-        CompletionRequest brief = rig.request("brief", 5'000);
+        PassesFixture fixture;
+        fixture.handle(RequestFinished{fixture.firstDispatch.id, fixture.firstDispatch.attempt});
+        CompletionRequest brief = fixture.request("brief", 5'000);
         brief.firstTarget = milliseconds(300);
-        brief.arrival = rig.now - milliseconds(700);
-        brief.deadline = rig.now + seconds(9);
-        rig.handle(RequestArrived{brief});
-        CPPUNIT_ASSERT(rig.only<Dispatch>().id == brief.id);
-        CompletionRequest next = rig.longRequest();
+        brief.arrival = fixture.now - milliseconds(700);
+        brief.deadline = fixture.now + seconds(9);
+        fixture.handle(RequestArrived{brief});
+        CPPUNIT_ASSERT(fixture.only<Dispatch>().id == brief.id);
+        CompletionRequest next = fixture.longRequest();
         next.id = state::RequestId("next");
-        next.arrival = rig.now - seconds(2);
-        rig.handle(RequestArrived{next});
-        CPPUNIT_ASSERT(rig.only<Dispatch>().id == next.id);
+        next.arrival = fixture.now - seconds(2);
+        fixture.handle(RequestArrived{next});
+        CPPUNIT_ASSERT(fixture.only<Dispatch>().id == next.id);
     }
 
-    // Guards against refusals at the start of a burst: all engines prefill long parts that end in
-    // half a second, and brief requests were sent away, to come back later than those parts ended.
-    void briefRequestBehindALongPartIsServed()
+    // At the start of a burst all engines prefill long parts that end in half a second. Guards
+    // against refusing brief requests then with a retry delay longer than that.
+    void briefRequestBehindLongPartIsServed()
     {
-        Rig rig;
-        for (std::size_t index = 0; index < Rig::engines; ++index) {
+        PassesFixture fixture;
+        for (std::size_t index = 0; index < PassesFixture::engines; ++index) {
             routing::WorkNote note;
-            note.engine = routing::EngineKey::of(Rig::engine(index).id);
+            note.engine = routing::EngineKey::of(PassesFixture::engine(index).id);
             note.work = index + 1;
             note.promptTokens = note.prefillTokens = 150'000;
             note.lifetime = seconds(10);
             note.pause = milliseconds(500);
-            rig.handle(PeerWorkNoted{note});
+            fixture.handle(PeerWorkNoted{note});
         }
-        CompletionRequest brief = rig.request("brief", 5'000);
+        CompletionRequest brief = fixture.request("brief", 5'000);
         brief.firstTarget = milliseconds(300);
-        brief.deadline = rig.now + seconds(10);
-        rig.handle(RequestArrived{brief});
-        CPPUNIT_ASSERT(rig.only<Dispatch>().id == brief.id);
+        brief.deadline = fixture.now + seconds(10);
+        fixture.handle(RequestArrived{brief});
+        CPPUNIT_ASSERT(fixture.only<Dispatch>().id == brief.id);
     }
 
-    // Guards against a bound that fits one deployment: the longest of its brief prompts counted as
-    // long elsewhere, waited behind prompts of ten times their length and were refused.
-    void whatIsBriefFollowsTheTightestPause()
+    // Guards against a fixed bound between brief and long prompts, which fits one deployment only:
+    // with it, the longest brief prompts of another one counted as long, waited behind prompts of
+    // ten times their length and were refused.
+    void briefBoundFollowsShortestPause()
     {
-        Rig rig;
-        const auto isLong = [&rig](std::uint32_t tokens) {
-            return rig.dispatcher->fleet().isLong(rig.request("any", 1).model, tokens);
+        PassesFixture fixture;
+        const auto isLong = [&fixture](std::uint32_t tokens) {
+            return fixture.dispatcher->fleet().isLong(fixture.request("any", 1).model, tokens);
         };
         CPPUNIT_ASSERT(isLong(100'000));
-        CPPUNIT_ASSERT(!isLong(40'000)); // nobody has asked for pauses below half a second
-        CompletionRequest brief = rig.request("brief", 5'000);
+        CPPUNIT_ASSERT(!isLong(40'000)); // no caller has requested pauses below half a second
+        CompletionRequest brief = fixture.request("brief", 5'000);
         brief.pause = milliseconds(200);
-        brief.deadline = rig.now + seconds(10);
-        rig.handle(RequestArrived{brief});
+        brief.deadline = fixture.now + seconds(10);
+        fixture.handle(RequestArrived{brief});
         CPPUNIT_ASSERT(isLong(40'000));
         CPPUNIT_ASSERT(!isLong(23'000));
-        // Nobody has asked for it for long: the route may have been a mistake.
-        rig.now += seconds(90);
-        CompletionRequest next = rig.longRequest();
+        // No request has had such a pause for long: the route may have been a mistake.
+        fixture.now += seconds(90);
+        CompletionRequest next = fixture.longRequest();
         next.id = state::RequestId("next");
-        rig.handle(RequestArrived{next});
+        fixture.handle(RequestArrived{next});
         CPPUNIT_ASSERT(!isLong(40'000));
     }
 
-    // All engines but one leave. A long prompt used to wait for an engine of the part for long
-    // work, which was empty, and was refused at its target though the last engine was idle.
+    // All engines but one are draining. Guards against a long prompt waiting for an engine of the
+    // group for long prompts, which is empty, and being refused at its target although the last
+    // engine is idle.
     void lastEngineServesLongPromptsToo()
     {
-        Rig rig;
-        rig.handle(RequestFinished{rig.sent.id, rig.sent.attempt});
-        for (std::size_t index = 1; index < Rig::engines; ++index)
-            rig.handle(EngineDraining{Rig::engine(index).id, true});
-        CompletionRequest next = rig.longRequest();
+        PassesFixture fixture;
+        fixture.handle(RequestFinished{fixture.firstDispatch.id, fixture.firstDispatch.attempt});
+        for (std::size_t index = 1; index < PassesFixture::engines; ++index)
+            fixture.handle(EngineDraining{PassesFixture::engine(index).id, true});
+        CompletionRequest next = fixture.longRequest();
         next.id = state::RequestId("next");
-        rig.handle(RequestArrived{next});
-        CPPUNIT_ASSERT(rig.only<Dispatch>().engine == Rig::engine(0).id);
+        fixture.handle(RequestArrived{next});
+        CPPUNIT_ASSERT(fixture.only<Dispatch>().engine == PassesFixture::engine(0).id);
     }
 };
 
--- a/tests/coordination/admission/DispatcherTest.cpp
+++ b/tests/coordination/admission/DispatcherTest.cpp
@@ -1,4 +1,4 @@
-// Failures that a Dispatcher must survive: lost engines, late events, deadlines, restarts.
+// Dispatcher under failures: lost and restarted engines, late events, missed deadlines.
 #include "DispatcherFixture.h"
 
 #include <cppunit/TestFixture.h>
@@ -8,25 +8,24 @@
 class DispatcherTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(DispatcherTest);
-    CPPUNIT_TEST(lostEngineResumesElsewhere);
+    CPPUNIT_TEST(requestOfLostEngineResumesElsewhere);
     CPPUNIT_TEST(nonIdempotentNeverRunsTwice);
-    CPPUNIT_TEST(refusedDispatchOfNonIdempotentMayGoOn);
-    CPPUNIT_TEST(givenUpIsToldAtOnce);
+    CPPUNIT_TEST(refusedNonIdempotentIsRetried);
+    CPPUNIT_TEST(exhaustedAttemptsAreRefusedAtOnce);
     CPPUNIT_TEST(lateEventsOfOldAttemptsAreIgnored);
     CPPUNIT_TEST(impossibleDeadlineIsRefused);
     CPPUNIT_TEST(deadlineEndsEachRequestOnce);
-    CPPUNIT_TEST(waitingRequestIsToldWhenTooLate);
-    CPPUNIT_TEST(longPrefillGoesInSlices);
-    CPPUNIT_TEST(longWorkAges);
+    CPPUNIT_TEST(waitingRequestIsRefusedWhenTooLate);
+    CPPUNIT_TEST(longPrefillIsSentInSlices);
+    CPPUNIT_TEST(priorityOfLongPromptRisesWithAge);
     CPPUNIT_TEST(limitHookRefusesAndIsReleasedOnce);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void lostEngineResumesElsewhere()
+    void requestOfLostEngineResumesElsewhere()
     {
-        // The caller has 40 tokens of an answer when its engine dies.
-        // The entry learns of the loss and sends the request on.
-        // It must go to another failure domain and on from offset 40: the caller sees no repeat.
+        // The caller has received 40 tokens when the engine is lost. The request must be dispatched
+        // to another failure domain and resume at offset 40, so that the caller sees no repetition.
         DispatcherFixture entry(6);
         entry.handle(RequestArrived{entry.request("a", 3'000)});
         const auto first = entry.only<Dispatch>();
@@ -41,13 +40,13 @@
 
     void nonIdempotentNeverRunsTwice()
     {
-        // A posting was handed to an engine that restarts under the same id.
-        // Nobody knows whether it ran; a second dispatch could bill twice.
-        // The caller hears at once that the outcome is unknown, and nothing is dispatched.
+        // The engine of a non-idempotent request restarts under the same id. It is unknown whether
+        // the request ran, and a second dispatch could bill twice. The caller must be told at once
+        // that the outcome is unknown, and nothing may be dispatched.
         DispatcherFixture entry(6);
-        CompletionRequest posting = entry.request("a", 3'000);
-        posting.idempotent = false;
-        entry.handle(RequestArrived{posting});
+        CompletionRequest nonIdempotent = entry.request("a", 3'000);
+        nonIdempotent.idempotent = false;
+        entry.handle(RequestArrived{nonIdempotent});
         const auto first = entry.only<Dispatch>();
         state::EndpointDescription again = entry.engine(0, 2);
         again.id = first.engine;
@@ -57,12 +56,12 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(0), entry.dispatcher->inFlight());
     }
 
-    void refusedDispatchOfNonIdempotentMayGoOn()
+    void refusedNonIdempotentIsRetried()
     {
         DispatcherFixture entry(6);
-        CompletionRequest posting = entry.request("a", 3'000);
-        posting.idempotent = false;
-        entry.handle(RequestArrived{posting});
+        CompletionRequest nonIdempotent = entry.request("a", 3'000);
+        nonIdempotent.idempotent = false;
+        entry.handle(RequestArrived{nonIdempotent});
         const auto first = entry.only<Dispatch>();
         entry.handle(AttemptFailed{first.id, first.attempt, true});
         const auto second = entry.only<Dispatch>();
@@ -71,11 +70,11 @@
         CPPUNIT_ASSERT(entry.only<Refuse>().ran == Ran::Unknown);
     }
 
-    void givenUpIsToldAtOnce()
+    void exhaustedAttemptsAreRefusedAtOnce()
     {
-        // Streams of a request break again and again, with minutes left to its deadline.
-        // The last allowed attempt breaks too.
-        // The caller gets the final answer then, with when to come back, and not at the deadline.
+        // The streams of a request break until its last allowed attempt has failed, with minutes
+        // left to its deadline. The caller must get the final answer, with a retry delay, at that
+        // time and not at the deadline.
         DispatcherFixture entry(6);
         entry.handle(RequestArrived{entry.request("a", 3'000)});
         std::size_t attempts = 0;
@@ -92,9 +91,9 @@
 
     void lateEventsOfOldAttemptsAreIgnored()
     {
-        // An engine stalls, its request goes to another one, and then the first engine's stream
-        // comes after all: token 90 and the end.
-        // Taken as the current attempt's, they would end the caller's answer in the middle.
+        // An engine stalls, its request moves to another one, and then the stream of the first
+        // engine delivers token 90 and the end. If these events counted for the current attempt,
+        // they would end the caller's answer in the middle.
         DispatcherFixture entry(6);
         entry.handle(RequestArrived{entry.request("a", 3'000)});
         const auto first = entry.only<Dispatch>();
@@ -134,11 +133,11 @@
         CPPUNIT_ASSERT(entry.last.empty());
     }
 
-    void waitingRequestIsToldWhenTooLate()
+    void waitingRequestIsRefusedWhenTooLate()
     {
-        // One engine is full; a second prompt that takes 5 s waits for its memory, due in 20 s.
-        // After 16 s it can't end in time any more.
-        // Its caller is told then that it did not run, and not four seconds later.
+        // The only engine is full. A second prompt, which takes 5 s and is due in 20 s, waits for
+        // memory. After 16 s it can no longer complete in time. Its caller must be told then, and
+        // not 4 s later, that it did not run.
         DispatcherFixture entry(1);
         entry.handle(RequestArrived{entry.request("a", 390'000)});
         CompletionRequest second = entry.request("b", 90'000);
@@ -151,7 +150,7 @@
         CPPUNIT_ASSERT(entry.only<Refuse>().ran == Ran::No);
     }
 
-    void longPrefillGoesInSlices()
+    void longPrefillIsSentInSlices()
     {
         routing::PolicySettings policy;
         policy.sliceTokens = 10'000;
@@ -170,10 +169,10 @@
         CPPUNIT_ASSERT_EQUAL(std::uint32_t(35'000), expected);
     }
 
-    void longWorkAges()
+    void priorityOfLongPromptRisesWithAge()
     {
-        // A long prompt gets its slices late, because shorter ones keep coming before it.
-        // Each slice goes out with a higher priority than the one before, so it does not starve.
+        // Shorter prompts delay the slices of a long one. A slice that is sent after a long wait
+        // must have a higher priority than the one before, so that the prompt does not starve.
         DispatcherFixture entry(2);
         entry.handle(RequestArrived{entry.request("a", 300'000)});
         const auto first = entry.only<Dispatch>();
@@ -204,7 +203,7 @@
         CPPUNIT_ASSERT(entry.only<Refuse>().retryAfter == std::chrono::seconds(7));
         entry.handle(CallerCancelled{state::RequestId("a")});
         entry.handle(CallerCancelled{state::RequestId("a")});
-        CPPUNIT_ASSERT_EQUAL(1, held); // "b" was counted by the hook and never granted
+        CPPUNIT_ASSERT_EQUAL(1, held); // the hook counted "b" but did not grant it
     }
 };
 
--- a/tests/coordination/admission/FairQueueTest.cpp
+++ b/tests/coordination/admission/FairQueueTest.cpp
@@ -1,4 +1,4 @@
-// Shares that FairQueue gives: by weight, without credit for idling.
+// Shares of service in FairQueue: proportional to the weights, without credit for idle time.
 #include "coordination/admission/FairQueue.h"
 
 #include <cppunit/TestFixture.h>
@@ -13,9 +13,9 @@
 {
     CPPUNIT_TEST_SUITE(FairQueueTest);
     CPPUNIT_TEST(sharesFollowWeights);
-    CPPUNIT_TEST(idlingSavesUpNothing);
-    CPPUNIT_TEST(peersServiceCounts);
-    CPPUNIT_TEST(olderRowIsIgnored);
+    CPPUNIT_TEST(idleTimeEarnsNoCredit);
+    CPPUNIT_TEST(serviceAtPeersCounts);
+    CPPUNIT_TEST(olderRowVersionIsIgnored);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr double tokens = 1'000;
@@ -75,7 +75,7 @@
             CPPUNIT_ASSERT_DOUBLES_EQUAL(100.0 * weight, served[account], 3.0);
     }
 
-    void idlingSavesUpNothing()
+    void idleTimeEarnsNoCredit()
     {
         this->setWeight("busy", 1);
         this->setWeight("idle", 1);
@@ -91,10 +91,10 @@
         CPPUNIT_ASSERT_DOUBLES_EQUAL(50, idle, 2);
     }
 
-    void peersServiceCounts()
+    void serviceAtPeersCounts()
     {
-        // Two accounts of equal weight wait here; one of them is served at another entry as well.
-        // Its notes are charged here, so that both get the same over all entries.
+        // Two accounts of equal weight wait here, and one of them is served at another entry too.
+        // The peer's work notes are charged here, so both must get equal service over all entries.
         this->setWeight("here", 1);
         this->setWeight("both", 1);
         for (int each = 0; each < 200; ++each) {
@@ -110,7 +110,7 @@
         CPPUNIT_ASSERT_DOUBLES_EQUAL(60, here, 2);
     }
 
-    void olderRowIsIgnored()
+    void olderRowVersionIsIgnored()
     {
         this->setWeight("a", 5, 9);
         this->setWeight("a", 1, 8);
--- a/tests/coordination/admission/LongQueueTest.cpp
+++ b/tests/coordination/admission/LongQueueTest.cpp
@@ -1,5 +1,5 @@
-// Contract of the queue of long prompts: all entries agree on the order without asking, shorter
-// prompts go first but longer ones catch up, and a dead entry holds nobody up for long.
+// LongPromptQueue: all entries compute the same order without coordination, shorter prompts go
+// first but longer ones catch up, and a crashed entry does not block the others for long.
 #include "coordination/admission/LongQueue.h"
 
 #include <cppunit/TestFixture.h>
@@ -10,10 +10,10 @@
 class LongQueueTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(LongQueueTest);
-    CPPUNIT_TEST(entriesAgreeOnTheFirst);
+    CPPUNIT_TEST(entriesAgreeOnHead);
     CPPUNIT_TEST(shorterGoFirstAndLongerCatchUp);
-    CPPUNIT_TEST(silentPeersAreForgotten);
-    CPPUNIT_TEST(workBeforeAPromptIsCounted);
+    CPPUNIT_TEST(promptsOfSilentPeersExpire);
+    CPPUNIT_TEST(engineTimeBeforePromptIsSummed);
     CPPUNIT_TEST_SUITE_END();
 
     const state::Instant start{std::chrono::seconds(100)};
@@ -24,8 +24,9 @@
     }
 
 public:
-    // Two entries each hold one prompt and have told the other: just one of them may start its own.
-    void entriesAgreeOnTheFirst()
+    // Two entries hold one prompt each and have announced it to the other: only one of them may
+    // start its own prompt.
+    void entriesAgreeOnHead()
     {
         const WaitingPrompt one = prompt(1, 3, this->start);
         const WaitingPrompt two = prompt(2, 1, this->start + std::chrono::milliseconds(100));
@@ -37,7 +38,7 @@
         second.notePeer(one, this->start);
         CPPUNIT_ASSERT(!first.head(this->start));
         CPPUNIT_ASSERT_EQUAL(std::string("two"), second.head(this->start)->value());
-        first.remove(two.work); // told to have started
+        first.remove(two.work); // its entry has announced its start
         CPPUNIT_ASSERT_EQUAL(std::string("one"), first.head(this->start)->value());
     }
 
@@ -52,9 +53,9 @@
         CPPUNIT_ASSERT_EQUAL(std::string("huge"), queue.head(this->start)->value());
     }
 
-    // An entry tells of its prompt and is killed. The prompts of the others wait for it no longer
-    // than it would take to tell again.
-    void silentPeersAreForgotten()
+    // An entry announces its prompt and crashes. The prompts of the others must not wait for it any
+    // longer than the lifetime of an announcement, 250 ms.
+    void promptsOfSilentPeersExpire()
     {
         LongQueue queue;
         queue.add(state::RequestId("own"), prompt(1, 3, this->start));
@@ -63,7 +64,7 @@
         CPPUNIT_ASSERT(queue.head(this->start + std::chrono::milliseconds(251)).has_value());
     }
 
-    void workBeforeAPromptIsCounted()
+    void engineTimeBeforePromptIsSummed()
     {
         LongQueue queue;
         queue.add(state::RequestId("a"), prompt(1, 1, this->start));
--- a/tests/coordination/admission/SpanTest.cpp
+++ b/tests/coordination/admission/SpanTest.cpp
@@ -1,4 +1,5 @@
-// Reservations of prompts over one engine's memory: order, all or nothing, every way out.
+// Reservations for spans, prompts that exceed one engine's memory: reserved in order, all or
+// nothing, released however the request ends.
 #include "DispatcherFixture.h"
 
 #include <cppunit/TestFixture.h>
@@ -11,16 +12,16 @@
 {
     CPPUNIT_TEST_SUITE(SpanTest);
     CPPUNIT_TEST(reservesInEngineOrderBeforeAnyPrefill);
-    CPPUNIT_TEST(refusedPartGivesAllBack);
-    CPPUNIT_TEST(everyWayOutReleases);
-    CPPUNIT_TEST(onlyTheLostRangeIsComputedAgain);
+    CPPUNIT_TEST(refusedPartReleasesAll);
+    CPPUNIT_TEST(everyOutcomeReleasesAll);
+    CPPUNIT_TEST(onlyLostPartIsRecomputed);
     CPPUNIT_TEST(lateGrantIsReleased);
     CPPUNIT_TEST(leasesAreRenewed);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr std::uint32_t million = 1'000'000;
 
-    // Grants reservations until the first range is dispatched; gives the leases.
+    // Grants reservations until the first part is dispatched; returns the reservations.
     static std::vector<Reserve> grantAll(DispatcherFixture &entry)
     {
         std::vector<Reserve> all;
@@ -64,11 +65,11 @@
         CPPUNIT_ASSERT_EQUAL(std::uint32_t(0), entry.only<Dispatch>().from);
     }
 
-    void refusedPartGivesAllBack()
+    void refusedPartReleasesAll()
     {
-        // Two entries plan spans over the same engines and one of them finds an engine full.
-        // Holding what it got while it waits for the rest would block the other for good.
-        // It gives everything back and tries again later.
+        // Two entries plan spans over the same engines, and one of them finds an engine full.
+        // Keeping its granted reservations while it waits for the rest could block the other one
+        // for good. It must release all of them and retry later.
         DispatcherFixture entry(16);
         entry.handle(RequestArrived{entry.request("a", million)});
         const auto first = entry.only<Reserve>();
@@ -82,49 +83,49 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), entry.got<Reserve>().size());
     }
 
-    void everyWayOutReleases()
+    void everyOutcomeReleasesAll()
     {
-        // A span of a million tokens ends in one of four ways while it holds several engines.
-        // Memory that is not given back is lost to everybody until the leases end.
-        // Each way out names every lease, and the note of their end reaches the peers.
-        for (const int way : {0, 1, 2, 3}) {
+        // A span of a million tokens ends in one of four ways while it holds memory on several
+        // engines. Memory that is not released is lost to all entries until the leases expire.
+        // Each way must release every lease and tell the peers that the work has ended.
+        for (const int outcome : {0, 1, 2, 3}) {
             DispatcherFixture entry(16);
             entry.handle(RequestArrived{entry.request("a", million)});
             const std::vector<Reserve> all = grantAll(entry);
             const auto dispatch = entry.only<Dispatch>();
-            if (way == 0)
+            if (outcome == 0)
                 entry.handle(CallerCancelled{dispatch.id});
-            if (way == 1)
+            if (outcome == 1)
                 entry.handle(RequestFinished{dispatch.id, dispatch.attempt});
-            if (way == 2) {
+            if (outcome == 2) {
                 entry.now += std::chrono::minutes(10);
                 entry.handle(Tick{});
             }
-            if (way == 3)
+            if (outcome == 3)
                 entry.handle(AttemptFailed{dispatch.id, dispatch.attempt, false});
             CPPUNIT_ASSERT(released(entry) == leasesOf(all));
             CPPUNIT_ASSERT(entry.got<ShareWork>().size() >= all.size());
         }
     }
 
-    void onlyTheLostRangeIsComputedAgain()
+    void onlyLostPartIsRecomputed()
     {
-        // The second range's engine dies after its range was prefilled, during the third one.
-        // The caller waits on; a whole new prefill of a million tokens would miss its deadline.
-        // Only the lost range moves and is computed again; the others keep engine and lease.
+        // The engine of the second part is lost after its part was prefilled, during the third one.
+        // Prefilling all of the million tokens again would miss the deadline. Only the lost part
+        // may move and be recomputed; the others must keep their engines and leases.
         DispatcherFixture entry(16);
         entry.handle(RequestArrived{entry.request("a", million)});
         const std::vector<Reserve> all = grantAll(entry);
         std::vector<state::EndpointId> order;
-        std::uint32_t secondFrom = 0;
-        std::uint32_t secondTo = 0;
+        std::uint32_t secondPartFrom = 0;
+        std::uint32_t secondPartTo = 0;
         while (order.size() < 3) {
             const auto slice = entry.only<Dispatch>();
             if (order.empty() || order.back() != slice.engine)
                 order.push_back(slice.engine);
             if (order.size() == 2) {
-                secondFrom = secondTo == 0 ? slice.from : secondFrom;
-                secondTo = slice.to;
+                secondPartFrom = secondPartTo == 0 ? slice.from : secondPartFrom;
+                secondPartTo = slice.to;
             }
             entry.handle(SlicePrefilled{slice.id, slice.attempt, slice.to});
         }
@@ -134,8 +135,8 @@
         entry.handle(ReservationAnswered{reserve.id, reserve.engine, reserve.lease, true});
         const auto again = entry.only<Dispatch>();
         CPPUNIT_ASSERT(again.engine == reserve.engine);
-        CPPUNIT_ASSERT_EQUAL(secondFrom, again.from);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t(secondTo - secondFrom),
+        CPPUNIT_ASSERT_EQUAL(secondPartFrom, again.from);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t(secondPartTo - secondPartFrom),
                              entry.dispatcher->counts().recomputedTokens);
     }
 
