--- a/src/coordination/membership/AntiEntropy.cpp
+++ b/src/coordination/membership/AntiEntropy.cpp
@@ -1,4 +1,4 @@
-// Digests are made on demand: one pass over fingerprints that the tables keep ready.
+// Digests are computed on demand in one pass over the fingerprints that the tables store.
 #include "coordination/membership/AntiEntropy.h"
 
 #include <algorithm>
@@ -40,13 +40,14 @@
 ItemsByBucket itemsByBucket(const ExchangedState &held, state::Instant now)
 {
     ItemsByBucket buckets(digestBuckets);
-    forEachExchanged(held, now, [&](std::uint64_t key, std::uint64_t print) {
-        buckets[key % digestBuckets].push_back(SummaryItem{key, print});
+    forEachExchanged(held, now, [&](std::uint64_t key, std::uint64_t recordFingerprint) {
+        buckets[key % digestBuckets].push_back(SummaryItem{key, recordFingerprint});
     });
     return buckets;
 }
 
-// Appends the record to the last message, or to a new one if it is full.
+// Appends the record to the last message, or to a new one if the last is full. Skips a record
+// larger than `bytes`. Returns false if the record needs one message more than `maximumMessages`.
 template <typename Record, typename ListOf>
 bool append(std::vector<GossipMessage> &messages, std::size_t &room, const Record &record,
             std::size_t bytes, std::size_t maximumMessages, ListOf listOf)
@@ -70,8 +71,8 @@
 std::vector<std::uint64_t> makeDigest(const ExchangedState &held, state::Instant now)
 {
     std::vector<std::uint64_t> digest(digestBuckets, 0);
-    forEachExchanged(held, now, [&](std::uint64_t key, std::uint64_t print) {
-        digest[key % digestBuckets] ^= print;
+    forEachExchanged(held, now, [&](std::uint64_t key, std::uint64_t recordFingerprint) {
+        digest[key % digestBuckets] ^= recordFingerprint;
     });
     return digest;
 }
@@ -106,23 +107,23 @@
 SummaryPlan planFor(const ExchangedState &held, const GossipMessage &summary, state::Instant now)
 {
     SummaryPlan plan;
-    std::unordered_map<std::uint64_t, std::uint64_t> theirs;
+    std::unordered_map<std::uint64_t, std::uint64_t> remoteFingerprints;
     for (const SummaryItem &item : summary.summary)
-        theirs.emplace(item.key, item.fingerprint);
+        remoteFingerprints.emplace(item.key, item.fingerprint);
     std::unordered_set<std::size_t> covered(summary.buckets.begin(), summary.buckets.end());
     const ItemsByBucket items = itemsByBucket(held, now);
     for (const std::size_t bucket : covered) {
         if (bucket >= digestBuckets)
             continue;
         for (const SummaryItem &item : items[bucket]) {
-            const auto their = theirs.find(item.key);
-            if (their == theirs.end() || their->second != item.fingerprint)
+            const auto remote = remoteFingerprints.find(item.key);
+            if (remote == remoteFingerprints.end() || remote->second != item.fingerprint)
                 plan.push.push_back(item.key);
-            if (their != theirs.end() && their->second == item.fingerprint)
-                theirs.erase(their);
+            if (remote != remoteFingerprints.end() && remote->second == item.fingerprint)
+                remoteFingerprints.erase(remote);
         }
     }
-    for (const auto &[key, print] : theirs)
+    for (const auto &[key, recordFingerprint] : remoteFingerprints)
         plan.pull.push_back(key);
     std::sort(plan.pull.begin(), plan.pull.end());
     return plan;
--- a/src/coordination/membership/AntiEntropy.h
+++ b/src/coordination/membership/AntiEntropy.h
@@ -1,5 +1,6 @@
-// Full-state exchange in bounded pieces: hashes of buckets first, then the names held in the
-// buckets that differ, then the records themselves. Repairs what news lost, and fills a newcomer.
+// Anti-entropy: a full-state exchange in bounded messages. Members compare hashes of buckets, then
+// the keys in the buckets that differ, then send the records. It repairs missed news and gives a
+// joining member the whole state.
 #pragma once
 
 #include "coordination/endpoints/EndpointTable.h"
@@ -10,27 +11,30 @@
 
 namespace lavenderthread::coordination::membership {
 
-// Ended records leave the exchange after this time, long before any member forgets them. Else a
-// member that forgot one early would be given it again, and it would circulate for good.
+// Records of dead or left members and of left or expired endpoints take part in the exchange for
+// this long, much less than any member keeps them. Otherwise a member that forgot such a record
+// would receive it again, and it would circulate forever. Endpoints with a drain in force are
+// excepted.
 constexpr state::Duration endedExchangedFor = std::chrono::seconds(60);
 
-// Both tables of one member; the exchange covers them alike.
+// The two tables of one member that the exchange covers.
 struct ExchangedState
 {
     const MemberTable &members;
     const endpoints::EndpointTable &endpointTable;
 };
 
+// Returns digestBuckets hashes, one for each bucket.
 std::vector<std::uint64_t> makeDigest(const ExchangedState &held, state::Instant now);
 
-// Fills the Summary lists of `answer` from the buckets that differ, from a random one on, as far
-// as `bytes` reach.
+// Fills the Summary lists of `answer` with the buckets that differ from `digest` and fit into
+// `bytes`, starting at a random one.
 void summarize(const ExchangedState &held, const std::vector<std::uint64_t> &digest,
                std::size_t bytes, std::mt19937_64 &random, state::Instant now,
                GossipMessage &answer);
 
-// What a Summary calls for. A fingerprint does not tell which side is newer, so a record that
-// differs goes both ways and the merge decides.
+// Keys of the records to request and to send after a Summary. A fingerprint does not tell which
+// side is newer, so a record that differs is in both lists, and the merge decides.
 struct SummaryPlan
 {
     std::vector<std::uint64_t> pull;
@@ -38,7 +42,8 @@
 };
 SummaryPlan planFor(const ExchangedState &held, const GossipMessage &summary, state::Instant now);
 
-// The full records of `keys`, split into lists that fit `bytes` each.
+// Returns the full records of `keys` in at most `maximumMessages` messages, each with at most
+// `bytes` of records. A record larger than `bytes` is left out.
 std::vector<GossipMessage> collect(const ExchangedState &held,
                                    const std::vector<std::uint64_t> &keys, std::size_t bytes,
                                    std::size_t maximumMessages);
--- a/src/coordination/membership/ConfirmedSpread.cpp
+++ b/src/coordination/membership/ConfirmedSpread.cpp
@@ -1,4 +1,4 @@
-// Who has confirmed what, and when the others are told again.
+// Collects confirmations and schedules resends to the members that have not confirmed.
 #include "coordination/membership/ConfirmedSpread.h"
 
 #include <xxhash.h>
@@ -9,7 +9,7 @@
 
 namespace {
 
-bool isOwed(const MemberEntry &entry, const state::VmId &self)
+bool mustConfirm(const MemberEntry &entry, const state::VmId &self)
 {
     return entry.record.id != self && entry.record.isLive() && entry.record.description != nullptr;
 }
@@ -32,9 +32,9 @@
 
 void ConfirmedSpread::confirmed(std::uint64_t member, std::uint64_t deregistration)
 {
-    for (auto &[endpoint, delivery] : this->deliveries) {
-        if (delivery.deregistration == deregistration)
-            delivery.confirmedBy.insert(member);
+    for (auto &[endpoint, pending] : this->deliveries) {
+        if (pending.deregistration == deregistration)
+            pending.confirmedBy.insert(member);
     }
 }
 
@@ -42,11 +42,11 @@
                              state::Instant now)
 {
     std::erase_if(this->deliveries, [&](const auto &item) {
-        const Delivery &delivery = item.second;
-        return now - delivery.begunAt >= this->settings.giveUpAfter
+        const Delivery &pending = item.second;
+        return now - pending.begunAt >= this->settings.giveUpAfter
                || std::ranges::none_of(members.entries(), [&](const auto &each) {
-                      return isOwed(each.second, self)
-                             && !delivery.confirmedBy.contains(each.second.key);
+                      return mustConfirm(each.second, self)
+                             && !pending.confirmedBy.contains(each.second.key);
                   });
     });
 }
@@ -55,27 +55,28 @@
 ConfirmedSpread::due(const MemberTable &members, const state::VmId &self, state::Instant now)
 {
     std::vector<std::map<state::EndpointId, Delivery>::iterator> sending;
-    for (auto delivery = this->deliveries.begin(); delivery != this->deliveries.end(); ++delivery) {
-        if (now < delivery->second.nextSend)
+    for (auto pending = this->deliveries.begin(); pending != this->deliveries.end(); ++pending) {
+        if (now < pending->second.nextSend)
             continue;
-        delivery->second.nextSend = now + this->settings.resendInterval;
-        sending.push_back(delivery);
+        pending->second.nextSend = now + this->settings.resendInterval;
+        sending.push_back(pending);
     }
     std::vector<Missing> due;
     if (sending.empty())
         return due;
     for (const auto &[id, entry] : members.entries()) {
-        if (!isOwed(entry, self))
+        if (!mustConfirm(entry, self))
             continue;
         Missing missing{&entry, {}};
-        for (const auto &delivery : sending) {
-            if (!delivery->second.confirmedBy.contains(entry.key))
-                missing.endpoints.push_back(delivery->first);
+        for (const auto &pending : sending) {
+            if (!pending->second.confirmedBy.contains(entry.key))
+                missing.endpoints.push_back(pending->first);
         }
         if (!missing.endpoints.empty())
             due.push_back(std::move(missing));
     }
-    // Members that have died and are not known to have must not take the turns of all others.
+    // Rotates, so that failed members not yet known to be dead don't keep the others from being
+    // sent to.
     if (due.size() > this->settings.membersPerResend) {
         this->turn = (this->turn + this->settings.membersPerResend) % due.size();
         std::rotate(due.begin(), due.begin() + static_cast<std::ptrdiff_t>(this->turn), due.end());
--- a/src/coordination/membership/ConfirmedSpread.h
+++ b/src/coordination/membership/ConfirmedSpread.h
@@ -1,6 +1,6 @@
-// Deregistrations that this member has acknowledged, until every live member has confirmed them.
-// Gossip alone reaches all but one member in 150 at once and leaves the rest to the exchange, which
-// comes seconds later; an entry that has missed the end of an endpoint goes on sending it work.
+// Tracks the deregistrations that this member has acknowledged until every live member has
+// confirmed them. Gossip alone misses about one member in 150 and leaves it to the exchange, which
+// takes seconds; an entry that missed a deregistration goes on sending work to the endpoint.
 #pragma once
 
 #include "coordination/endpoints/EndpointRecord.h"
@@ -14,23 +14,25 @@
 
 namespace lavenderthread::coordination::membership {
 
-// What a confirmation names: one life of an endpoint.
+// Identifies the deregistration of one incarnation of an endpoint in a confirmation.
 std::uint64_t deregistrationKey(const state::EndpointId &endpoint, std::uint64_t incarnation);
 
 struct ConfirmedSpreadSettings
 {
-    // Gossip and the confirmations of those that it reached take less than this.
+    // Longer than gossip and the confirmations of the members that it reaches take.
     state::Duration firstResend = std::chrono::milliseconds(200);
     state::Duration resendInterval = std::chrono::milliseconds(200);
-    // Longer than a member that has died counts as live.
+    // Longer than it takes to declare a failed member dead.
     state::Duration giveUpAfter = std::chrono::seconds(10);
-    std::size_t membersPerResend = 64; // datagrams that one tick sends at most
+    std::size_t membersPerResend = 64; // at most, with one datagram each, in one tick
 };
 
+// Decides which members are sent a deregistration again and when it is finished. A deregistration
+// is dropped when all live members have confirmed it or after giveUpAfter.
 class ConfirmedSpread
 {
 public:
-    // One member, and the endpoints whose end it has not confirmed.
+    // A member and the endpoints whose deregistration it has not confirmed.
     struct Missing
     {
         const MemberEntry *member = nullptr;
@@ -44,13 +46,14 @@
 
     void begin(const endpoints::EndpointRecord &left, state::Instant now);
     void confirmed(std::uint64_t member, std::uint64_t deregistration);
-    // Drops what all live members other than `self` have confirmed, and what is given up.
+    // Drops the deregistrations that all live members other than `self` have confirmed, and those
+    // older than giveUpAfter.
     void settle(const MemberTable &members, const state::VmId &self, state::Instant now);
     bool isOnItsWay(const state::EndpointId &endpoint) const
     {
         return this->deliveries.contains(endpoint);
     }
-    // Whom to send what now.
+    // Returns the resends that are due, at most membersPerResend, and schedules the next ones.
     std::vector<Missing> due(const MemberTable &members, const state::VmId &self,
                              state::Instant now);
 
@@ -60,12 +63,12 @@
         std::uint64_t deregistration = 0;
         state::Instant begunAt;
         state::Instant nextSend;
-        std::unordered_set<std::uint64_t> confirmedBy; // keys of members
+        std::unordered_set<std::uint64_t> confirmedBy; // memberKey of each
     };
 
     ConfirmedSpreadSettings settings;
     std::map<state::EndpointId, Delivery> deliveries;
-    std::size_t turn = 0; // where the last tick began, if it could not send to all
+    std::size_t turn = 0; // offset of the last resend that could not cover all members
 };
 
 } // namespace lavenderthread::coordination::membership
--- a/src/coordination/membership/Deregistrations.cpp
+++ b/src/coordination/membership/Deregistrations.cpp
@@ -1,4 +1,4 @@
-// The part of a member that sees to it that the end of an endpoint is known to all.
+// The part of Membership that makes every live member confirm the deregistration of an endpoint.
 #include "coordination/membership/Membership.h"
 
 #include <algorithm>
@@ -8,8 +8,9 @@
 
 namespace {
 
-// Several datagrams of a flood; the rest is asked for again.
-constexpr std::size_t mostOwed = 200;
+// Per waiting member and tick, which takes several datagrams. The waiting member asks again for the
+// rest.
+constexpr std::size_t maximumPendingPerMember = 200;
 constexpr std::size_t keysPerConfirmation = 100;
 
 bool isKnownToHaveLeft(const endpoints::EndpointRecord &news,
@@ -28,21 +29,22 @@
 {
     if (news.phase != endpoints::EndpointPhase::Left || !isKnownToHaveLeft(news, merged.record))
         return;
-    const bool asked = message.kind == GossipKind::Deregistrations;
-    const bool firstHeard = merged.changed && message.kind == GossipKind::News;
-    const state::VmId &waiting = asked ? message.sender : news.home;
-    if ((!asked && !firstHeard) || waiting == this->settings.self)
+    const bool isRequested = message.kind == GossipKind::Deregistrations;
+    const bool isFirstNews = merged.changed && message.kind == GossipKind::News;
+    const state::VmId &waitingMember = isRequested ? message.sender : news.home;
+    if ((!isRequested && !isFirstNews) || waitingMember == this->settings.self)
         return;
-    std::vector<std::uint64_t> &owed = this->owedConfirmations[waiting];
+    std::vector<std::uint64_t> &pending = this->owedConfirmations[waitingMember];
     const std::uint64_t key = deregistrationKey(news.id, news.incarnation);
-    if (owed.size() < mostOwed && std::ranges::find(owed, key) == owed.end())
-        owed.push_back(key);
+    if (pending.size() < maximumPendingPerMember
+        && std::ranges::find(pending, key) == pending.end())
+        pending.push_back(key);
 }
 
 void Membership::confirmDeregistrations(GossipActions &actions)
 {
-    for (auto &[waiting, keys] : std::exchange(this->owedConfirmations, {})) {
-        const MemberEntry *member = this->memberTable.find(waiting);
+    for (auto &[waitingMember, keys] : std::exchange(this->owedConfirmations, {})) {
+        const MemberEntry *member = this->memberTable.find(waitingMember);
         if (member == nullptr || member->record.description == nullptr)
             continue;
         GossipMessage message = this->makeMessage(GossipKind::Confirm);
@@ -71,7 +73,7 @@
             const endpoints::EndpointRecord record = inForm(entry->record, NewsForm::Short);
             const std::size_t bytes = endpoints::wireBytes(record);
             if (bytes > room)
-                break; // goes with the next resend, when others have been confirmed
+                break; // the next resend has room for it once others are confirmed
             room -= bytes;
             message.endpointRecords.push_back(record);
         }
--- a/src/coordination/membership/FailureDetector.cpp
+++ b/src/coordination/membership/FailureDetector.cpp
@@ -1,4 +1,4 @@
-// Probe rounds and suspicion timers.
+// Probe rounds and suspicion timers of the failure detector.
 #include "coordination/membership/FailureDetector.h"
 
 #include <algorithm>
@@ -33,13 +33,13 @@
     return actions;
 }
 
-// A refutation that got lost on the way to one member alone would make that member declare a live
-// one dead. Every member therefore asks the suspect itself before its countdown ends; its answer
-// carries the refutation. Only those that missed it ask, so a live suspect is not flooded.
+// If a refutation is lost on the way to a single member, that member would declare a live one dead.
+// Every member therefore probes the suspect directly before the suspicion ends, and the ack carries
+// the refutation. Only members that missed the refutation do so, so a live suspect is not flooded.
 void FailureDetector::reviewSuspicions(const MemberTable &members, bool isolated,
                                        state::Instant now, ProbeActions &actions)
 {
-    constexpr unsigned lastChecks = 3;
+    constexpr unsigned maximumRechecks = 3;
     for (auto &[id, suspicion] : this->suspicions) {
         if (isolated)
             suspicion.ends =
@@ -47,8 +47,8 @@
         const state::Duration left = suspicion.ends - now;
         if (left <= state::Duration::zero())
             actions.dead.push_back(id);
-        else if (suspicion.checks < lastChecks
-                 && left <= this->settings.probeInterval * (lastChecks - suspicion.checks)) {
+        else if (suspicion.checks < maximumRechecks
+                 && left <= this->settings.probeInterval * (maximumRechecks - suspicion.checks)) {
             ++suspicion.checks;
             actions.check.push_back(id);
         }
@@ -69,8 +69,9 @@
         this->suspicions.erase(record.id);
         return;
     }
-    // A suspicion of a higher version means that an earlier one was refuted, even if the refutation
-    // itself was lost on the way here; going on with the earlier countdown would end too soon.
+    // A suspicion of a higher version means that the earlier one was refuted, even if the
+    // refutation did not arrive here. The timer restarts, because the earlier one would end too
+    // soon.
     const auto known = this->suspicions.find(record.id);
     if (known == this->suspicions.end() || known->second.version != record.version)
         this->suspicions[record.id] = Suspicion{record.version, now + this->suspicionTime(members)};
--- a/src/coordination/membership/FailureDetector.h
+++ b/src/coordination/membership/FailureDetector.h
@@ -1,5 +1,5 @@
-// Finds members that no longer answer: a direct probe, then probes through others, then suspicion,
-// which the suspect may refute before it is declared dead.
+// SWIM failure detector: a direct probe, then indirect probes through other members, then
+// suspicion, which the suspect may refute before it is declared dead.
 #pragma once
 
 #include "coordination/membership/MemberTable.h"
@@ -15,24 +15,27 @@
 struct FailureDetectorSettings
 {
     state::Duration probeInterval = std::chrono::seconds(1);
-    state::Duration probeTimeout = std::chrono::milliseconds(300); // then through others
-    // A suspect has this many probe intervals for each decimal digit of the number of members.
+    state::Duration probeTimeout = std::chrono::milliseconds(300); // then indirectly
+    // A suspect is declared dead after this many probe intervals for each decimal digit of the
+    // number of members.
     unsigned suspicionFactor = 4;
-    // No datagram accepted for this long: the fault is taken to be on this side.
+    // After this long without an accepted datagram, this member assumes that the fault is its own.
     state::Duration isolationAfter = std::chrono::seconds(4);
 };
 
-// What tick() asks for.
+// What the caller of tick() has to do.
 struct ProbeActions
 {
-    std::optional<state::VmId> ping; // directly, with `sequence`
-    std::optional<state::VmId> pingThroughOthers;
+    std::optional<state::VmId> ping;              // gets a direct probe with `sequence`
+    std::optional<state::VmId> pingThroughOthers; // gets indirect probes with `sequence`
     std::uint32_t sequence = 0;
     std::optional<state::VmId> suspect;
-    std::vector<state::VmId> check; // suspects that get a last direct probe
-    std::vector<state::VmId> dead;
+    std::vector<state::VmId> check; // suspects to probe directly before they are declared dead
+    std::vector<state::VmId> dead;  // whose suspicion ended without a refutation
 };
 
+// Probes every member once a round, in random order, and times the suspicions. It sends nothing
+// itself.
 class FailureDetector
 {
 public:
@@ -45,11 +48,14 @@
 
     ProbeActions tick(const MemberTable &members, std::mt19937_64 &random, state::Instant now);
     void acknowledged(std::uint32_t sequence);
-    void heard(state::Instant now) { this->heardAt = now; } // any datagram that was accepted
-    // Starts or ends the countdown after the member's record changed.
+    // Call for every accepted datagram.
+    void heard(state::Instant now) { this->heardAt = now; }
+    // Starts, restarts or ends the suspicion timer after a change of the member's record. `members`
+    // is the number of live members.
     void observe(const MemberRecord &record, std::size_t members, state::Instant now);
-    // True while nothing is heard. An isolated member accuses nobody: it would find all others
-    // silent, declare them dead one by one, and on its return make every one of them refute that.
+    // True while no datagram arrives although other members are live. An isolated member suspects
+    // nobody: otherwise it would declare all others dead one by one, and each of them would have to
+    // refute that after its return.
     bool isIsolated(const MemberTable &members, state::Instant now) const;
 
 private:
@@ -68,17 +74,17 @@
 
     FailureDetectorSettings settings;
     state::VmId self;
-    std::vector<state::VmId> round; // shuffled; every member is probed once a round
+    std::vector<state::VmId> round; // shuffled; each member is probed once a round
     std::size_t roundPosition = 0;
-    std::optional<Probe> probe; // unanswered
+    std::optional<Probe> probe; // not yet acknowledged
     std::uint32_t lastSequence = 0;
     state::Instant nextProbe;
     state::Instant heardAt;
     struct Suspicion
     {
-        std::uint32_t version = 0; // of the record that is suspected
+        std::uint32_t version = 0; // of the suspected record
         state::Instant ends;
-        unsigned checks = 0; // last direct probes sent
+        unsigned checks = 0; // direct probes sent because the suspicion is about to end
     };
     std::map<state::VmId, Suspicion> suspicions;
 };
--- a/src/coordination/membership/GossipMessage.cpp
+++ b/src/coordination/membership/GossipMessage.cpp
@@ -1,4 +1,4 @@
-// Size of a gossip message.
+// Upper bound of the encoded size of a gossip message.
 #include "coordination/membership/GossipMessage.h"
 
 namespace lavenderthread::coordination::membership {
--- a/src/coordination/membership/GossipMessage.h
+++ b/src/coordination/membership/GossipMessage.h
@@ -1,4 +1,4 @@
-// The messages that members exchange by datagram.
+// The messages that members send each other as datagrams.
 #pragma once
 
 #include "coordination/endpoints/EndpointRecord.h"
@@ -14,17 +14,17 @@
     Ping,        // asks `target` for an Ack with the same sequence
     PingRequest, // asks the receiver to ping `target` for the sender
     Ack,
-    News,            // records that are news to most; the receiver spreads them on
-    Digest,          // opens a full-state exchange: one hash for each bucket of keys
-    Summary,         // answers a Digest: what the sender holds in some buckets that differ
-    Pull,            // asks for the records of `keys`
-    Load,            // loads of endpoints announced at the sender, to the entries that watch it
-    Records,         // records that most know already; the receiver doesn't spread them
-    Deregistrations, // news that the receiver confirms to the sender, known or not
-    Confirm,         // tells which deregistrations (`keys`) the sender knows of
+    News,            // records that most members don't have yet; the receiver spreads them
+    Digest,          // starts a full-state exchange: one hash for each bucket of keys
+    Summary,         // reply to a Digest: the sender's items in some buckets that differ
+    Pull,            // requests the records of `keys`
+    Load,            // loads of endpoints announced to the sender, for the entries that watch it
+    Records,         // records that most members have; the receiver doesn't spread them
+    Deregistrations, // News that the receiver confirms to the sender even if it knew them
+    Confirm,         // deregistrations (`keys`) that the sender knows
 };
 
-// One record that a Summary mentions.
+// Key and fingerprint of one record in a Summary.
 struct SummaryItem
 {
     std::uint64_t key = 0;
@@ -35,7 +35,8 @@
 
 constexpr std::size_t digestBuckets = 64; // a record's bucket is its key modulo this
 
-// Every kind may carry records and statuses; the other lists belong to the kind that names them.
+// Every kind may carry records and statuses. The other lists are used by the kinds named beside
+// them.
 struct GossipMessage
 {
     GossipKind kind = GossipKind::Ping;
@@ -47,17 +48,17 @@
     std::vector<MemberRecord> members;
     std::vector<endpoints::EndpointRecord> endpointRecords;
     std::vector<MemberStatus> statuses;
-    std::vector<std::uint64_t> digest;    // Digest: digestBuckets hashes
-    std::vector<std::uint8_t> buckets;    // Summary: those that `summary` covers whole
-    std::uint8_t differingBuckets = 0;    // Summary: of how many; 0 when all agree
-    std::vector<SummaryItem> summary;     // Summary
-    std::vector<std::uint64_t> keys;      // Pull: of records; Confirm: deregistrationKey()
+    std::vector<std::uint64_t> digest; // Digest: digestBuckets hashes
+    std::vector<std::uint8_t> buckets; // Summary: those that `summary` covers completely
+    std::uint8_t differingBuckets = 0; // Summary: number of buckets that differ, 0 to digestBuckets
+    std::vector<SummaryItem> summary;  // Summary
+    std::vector<std::uint64_t> keys;   // Pull: keys of records; Confirm: deregistrationKey()
     std::vector<state::LoadReport> loads; // Load
 };
 
-constexpr std::size_t loadWireBytes = 41; // and the characters of the endpoint's id
+constexpr std::size_t loadWireBytes = 41; // plus the characters of the endpoint's id
 
-// Upper bound of the encoded size without seal.
+// Upper bound of the encoded size, without the seal.
 std::size_t wireBytes(const GossipMessage &message);
 
 } // namespace lavenderthread::coordination::membership
--- a/src/coordination/membership/MemberTable.cpp
+++ b/src/coordination/membership/MemberTable.cpp
@@ -1,4 +1,4 @@
-// Applies member news upward, and picks members and statuses to send.
+// Merges member records, newer ones only, and selects members and statuses to send.
 #include "coordination/membership/MemberTable.h"
 
 #include <algorithm>
@@ -46,7 +46,8 @@
     return true;
 }
 
-bool MemberTable::forget(state::Instant now, state::Duration leftKept, state::Duration deadKept)
+bool MemberTable::forget(state::Instant now, state::Duration leftRetention,
+                         state::Duration deadRetention)
 {
     return std::erase_if(this->members,
                          [&](const auto &item) {
@@ -54,7 +55,7 @@
                              if (entry.record.isLive())
                                  return false;
                              const bool left = entry.record.phase == MemberPhase::Left;
-                             if (now - entry.changedAt <= (left ? leftKept : deadKept))
+                             if (now - entry.changedAt <= (left ? leftRetention : deadRetention))
                                  return false;
                              this->byKey.erase(entry.key);
                              return true;
--- a/src/coordination/membership/MemberTable.h
+++ b/src/coordination/membership/MemberTable.h
@@ -1,4 +1,5 @@
-// All members that one entry knows, itself included; dead and left ones until they are forgotten.
+// All members that one entry knows, including itself. Dead and left members stay until forget()
+// drops them.
 #pragma once
 
 #include "coordination/membership/Member.h"
@@ -14,11 +15,11 @@
 struct MemberEntry
 {
     MemberRecord record;
-    std::uint64_t key = 0;
-    std::uint64_t fingerprint = 0;
+    std::uint64_t key = 0;         // memberKey of the id
+    std::uint64_t fingerprint = 0; // of the record
     state::Instant changedAt;
     MemberStatus status;
-    std::uint32_t statusSends = 0; // since the status last changed
+    std::uint32_t statusSends = 0; // number of sends since the status last changed
 };
 
 enum class ApplyResult : std::uint8_t { Unknown, Older, Same, Changed };
@@ -26,27 +27,31 @@
 class MemberTable
 {
 public:
-    // Unknown: the news is short, or tells of an end, and its member is not known in that
-    // incarnation. A short record can't be kept, since it has no address.
+    // Returns Unknown if the member is not known in that incarnation and the record has no
+    // description, thus no address to keep, or if the member is not known at all and the record is
+    // of a dead or left member.
     ApplyResult apply(const MemberRecord &news, state::Instant now);
+    // Returns false if the member is unknown or the status is not newer than the known one.
     bool applyStatus(const MemberStatus &status);
-    // Drops members that left longer than `leftKept` ago or are dead for longer than `deadKept`.
-    bool forget(state::Instant now, state::Duration leftKept, state::Duration deadKept);
+    // Drops members that left more than `leftRetention` ago or have been dead for more than
+    // `deadRetention`. Returns whether any was dropped.
+    bool forget(state::Instant now, state::Duration leftRetention, state::Duration deadRetention);
 
     const MemberEntry *find(const state::VmId &id) const;
     const std::map<state::VmId, MemberEntry> &entries() const { return this->members; }
     std::size_t liveCount() const;
 
-    // Up to `count` distinct live members other than `self` and `other`, in random order.
+    // Returns up to `count` distinct live members other than `self` and `other`, in random order.
     std::vector<const MemberEntry *> randomLive(std::size_t count, const state::VmId &self,
                                                 const state::VmId &other,
                                                 std::mt19937_64 &random) const;
-    // Up to `count` statuses, those first that were sent least since they changed.
+    // Returns up to `count` statuses of live members and counts them as sent: that of `self` first,
+    // then those sent least often since they changed.
     std::vector<MemberStatus> takeStatuses(std::size_t count, const state::VmId &self);
 
 private:
     std::map<state::VmId, MemberEntry> members;
-    std::unordered_map<std::uint64_t, state::VmId> byKey; // of exactly the members
+    std::unordered_map<std::uint64_t, state::VmId> byKey; // exactly one item for each member
 };
 
 } // namespace lavenderthread::coordination::membership
--- a/src/coordination/membership/Membership.cpp
+++ b/src/coordination/membership/Membership.cpp
@@ -1,5 +1,5 @@
-// Outgoing half: ticks, probes, spreading news within the byte budget, and this member's own
-// record.
+// Outgoing half of Membership: ticks, probes, spreading news within the byte budget, and updates of
+// this member's own record.
 #include "coordination/membership/Membership.h"
 
 #include "coordination/membership/AntiEntropy.h"
@@ -13,16 +13,18 @@
 
 constexpr std::size_t sealAndHeaderBytes = 16 + 28; // seal, IPv4 and UDP headers
 constexpr std::size_t sealBytes = 16;
-// The exchange and critical news may go this far below an empty budget. Else a flood of other news
-// would keep newcomers out and drains waiting for as long as it lasts.
-constexpr double reserveBytes = 4'000;
-// Loads are sent all the time and age by themselves; they leave this part of a full budget to news.
-constexpr double shareKeptFromLoads = 0.5;
-// Rounds repeat what was passed on when it was new; they leave this part to what is new now.
-constexpr double shareKeptFromRounds = 0.25;
-constexpr double leastDigits = 2; // in a small fleet, too, loss must not end the spread of news
-constexpr std::size_t floodRecords = 100;
-constexpr unsigned floodSends = 2;
+// Exchanges and critical news may overdraw the budget by this much. Otherwise a burst of other news
+// would block joining members and delay drains for as long as it lasts.
+constexpr double overdraftBytes = 4'000;
+// Share of a full budget that loads leave to news: loads are sent continuously and expire anyway.
+constexpr double budgetShareReservedFromLoads = 0.5;
+// Share of a full budget that gossip rounds leave to the eager push of new records: rounds repeat
+// records that were pushed when they were new.
+constexpr double budgetShareReservedFromRounds = 0.25;
+constexpr double minimumDigits = 2; // lets news survive loss also in a small cluster
+// With more records than this in the queue, each ordinary one is sent burstSends times only.
+constexpr std::size_t burstRecords = 100;
+constexpr unsigned burstSends = 2;
 constexpr state::Duration forgetInterval = std::chrono::seconds(10);
 
 } // namespace
@@ -31,7 +33,7 @@
 {
     constexpr std::size_t maximumCluster = 32;
     constexpr std::size_t maximumId = 128;
-    constexpr std::size_t smallestDatagram = 900; // a digest or the largest record with its headers
+    constexpr std::size_t smallestDatagram = 900; // a digest or the largest record, with headers
     const auto fail = [](const char *cause) {
         return state::makeError(state::ErrorCode::InvalidArgument, "membership.create", cause);
     };
@@ -42,11 +44,11 @@
     if (settings.incarnation == 0)
         return fail("the incarnation must be above 0");
     if (settings.datagramBytes < smallestDatagram)
-        return fail("datagrams must hold 900 bytes at least");
+        return fail("datagrams must hold at least 900 bytes");
     const auto longest = std::max(settings.description.failureDomain.value().size(),
                                   settings.description.region.value().size());
     if (longest > maximumId)
-        return fail("failure domain and region must have 128 characters at most");
+        return fail("failure domain and region must have at most 128 characters");
     return Membership(std::move(settings), now);
 }
 
@@ -54,7 +56,7 @@
     : settings(std::move(chosen))
     , random(this->settings.randomSeed)
     , failureDetector(this->settings.failureDetector, this->settings.self, now)
-    , budget(this->settings.bytesPerSecond, this->settings.burstBytes, -reserveBytes, now)
+    , budget(this->settings.bytesPerSecond, this->settings.burstBytes, -overdraftBytes, now)
     , startedAt(now)
     , nextGossip(now)
     , nextExchange(now)
@@ -88,35 +90,36 @@
 
 void Membership::probe(GossipActions &actions, state::Instant now)
 {
-    const ProbeActions wanted = this->failureDetector.tick(this->memberTable, this->random, now);
-    if (wanted.suspect)
-        this->declare(*wanted.suspect, MemberHealth::Suspect, actions, now);
-    for (const state::VmId &id : wanted.dead)
+    const ProbeActions probeActions =
+            this->failureDetector.tick(this->memberTable, this->random, now);
+    if (probeActions.suspect)
+        this->declare(*probeActions.suspect, MemberHealth::Suspect, actions, now);
+    for (const state::VmId &id : probeActions.dead)
         this->declare(id, MemberHealth::Dead, actions, now);
-    if (wanted.ping) {
-        const MemberRecord &target = this->memberTable.find(*wanted.ping)->record;
-        GossipMessage message = this->makeMessage(GossipKind::Ping, wanted.sequence);
+    if (probeActions.ping) {
+        const MemberRecord &target = this->memberTable.find(*probeActions.ping)->record;
+        GossipMessage message = this->makeMessage(GossipKind::Ping, probeActions.sequence);
         message.target = target.id;
-        // A suspect hears of the accusation from the probe itself, in time to refute it.
+        // The probe tells a suspect that it is suspected, in time for it to refute that.
         if (target.health != MemberHealth::Alive)
             message.members.push_back(target);
         this->send(actions, target.description->gossip, std::move(message), now);
     }
-    for (const state::VmId &id : wanted.check)
+    for (const state::VmId &id : probeActions.check)
         this->pingAccused(this->memberTable.find(id)->record, MemberRecord{}, actions);
-    if (!wanted.pingThroughOthers)
+    if (!probeActions.pingThroughOthers)
         return;
-    // At a loss of one datagram in five, a live member stays silent through all of these in one
-    // probe of sixty.
+    // With 20% datagram loss, all of these fail for a live member in one probe of sixty.
     constexpr std::size_t indirectProbes = 4;
-    const MemberEntry *target = this->memberTable.find(*wanted.pingThroughOthers);
-    GossipMessage again = this->makeMessage(GossipKind::Ping, wanted.sequence);
+    const MemberEntry *target = this->memberTable.find(*probeActions.pingThroughOthers);
+    GossipMessage again = this->makeMessage(GossipKind::Ping, probeActions.sequence);
     again.target = target->record.id;
     this->sendBare(actions, target->record.description->gossip, std::move(again));
-    for (const MemberEntry *helper : this->memberTable.randomLive(
-                 indirectProbes, this->settings.self, *wanted.pingThroughOthers, this->random)) {
-        GossipMessage message = this->makeMessage(GossipKind::PingRequest, wanted.sequence);
-        message.target = *wanted.pingThroughOthers;
+    for (const MemberEntry *helper :
+         this->memberTable.randomLive(indirectProbes, this->settings.self,
+                                      *probeActions.pingThroughOthers, this->random)) {
+        GossipMessage message = this->makeMessage(GossipKind::PingRequest, probeActions.sequence);
+        message.target = *probeActions.pingThroughOthers;
         this->sendBare(actions, helper->record.description->gossip, std::move(message));
     }
 }
@@ -129,24 +132,26 @@
     for (const MemberEntry *peer :
          this->memberTable.randomLive(this->settings.gossipFanout, this->settings.self,
                                       this->settings.self, this->random)) {
-        const double least = this->news.hasCritical()
-                                     ? -reserveBytes
-                                     : this->settings.burstBytes * shareKeptFromRounds;
-        if (this->news.empty() || this->budget.left(now) <= least)
+        const double minimumBudget =
+                this->news.hasCritical()
+                        ? -overdraftBytes
+                        : this->settings.burstBytes * budgetShareReservedFromRounds;
+        if (this->news.empty() || this->budget.left(now) <= minimumBudget)
             return;
         this->send(actions, peer->record.description->gossip, this->makeMessage(GossipKind::News),
                    now);
     }
 }
 
-// Farewells and drains: an endpoint that leaves takes new work for two seconds more at most, and
-// its farewell is acknowledged on the strength of this. Rounds of gossip alone reached the last of
-// 126 members after 2 to 10 s. Few and short, so they go out over the budget; what many endpoints
-// do at once, as when their home is lost, waits for the rounds.
+// Deregistrations and drains: a leaving endpoint takes new work for at most two seconds more, and
+// its deregistration is acknowledged because the eager push meets that limit. Gossip rounds alone
+// reached the last of 126 members after 2 to 10 s. These records are few and short, so they may
+// exceed the budget. Changes of many endpoints at once, as when their home entry is lost, exceed
+// the datagram and wait for the rounds.
 //
-// New descriptions: while half of a service is replaced, the last of 126 members heard of its new
-// endpoints by the rounds after 19 s, and half of the service was out of use there. They go out
-// within the budget.
+// New descriptions: while half of a service was replaced, gossip rounds took 19 s to tell the last
+// of 126 members about the new endpoints, and half of the service was unusable there until then.
+// They stay within the budget.
 void Membership::passOn(const std::vector<endpoints::EndpointRecord> &records,
                         GossipActions &actions, state::Instant now)
 {
@@ -157,7 +162,7 @@
     for (const endpoints::EndpointRecord &record : records) {
         const std::size_t bytes = endpoints::wireBytes(record);
         if (bytes > room)
-            break; // the rest goes with the rounds
+            break; // gossip rounds spread the rest
         if (!endsWork(record) && this->budget.left(now) <= 0)
             continue;
         room -= bytes;
@@ -181,7 +186,7 @@
             now + (this->synced ? this->settings.syncInterval : this->settings.joinSyncInterval);
     const std::optional<state::Address> peer = this->exchangePeer();
     if (!peer) {
-        this->synced = true; // the first member of its cluster
+        this->synced = true; // this is the first member of its cluster
         return;
     }
     if (!this->mayExchange(now))
@@ -216,9 +221,10 @@
     return seeds;
 }
 
-// Members that start together may meet in two groups that know nothing of each other: half the
-// entries then never hear of the other half's endpoints. Each group lacks some seed, or neither
-// does and they have met; so asking the seeds that are not met joins them.
+// Members that start at the same time may form two groups that don't know each other, so that the
+// entries of one never learn of the endpoints of the other. Either a group knows no live member at
+// some seed address, and contacting that seed joins the groups, or it knows one at each and the
+// groups have met already.
 void Membership::seekSeeds(GossipActions &actions, state::Instant now)
 {
     if (now < this->nextSeek)
@@ -226,7 +232,7 @@
     this->nextSeek = now + this->settings.seekInterval;
     const std::vector<state::Address> seeds = this->unmetSeeds();
     if (seeds.empty() || this->memberTable.liveCount() < 2)
-        return; // alone, the exchange asks them
+        return; // a member that knows no other contacts the seeds by its exchange
     GossipMessage message = this->makeMessage(GossipKind::Digest);
     message.digest = makeDigest({this->memberTable, this->endpointRecords}, now);
     this->addSelf(message);
@@ -319,7 +325,7 @@
     for (const state::VmId &id : watchers) {
         const MemberEntry *watcher = this->memberTable.find(id);
         if (this->superseded || message.loads.empty()
-            || this->budget.left(now) <= this->settings.burstBytes * shareKeptFromLoads)
+            || this->budget.left(now) <= this->settings.burstBytes * budgetShareReservedFromLoads)
             break;
         if (watcher != nullptr && watcher->record.isLive() && id != this->settings.self)
             this->sendBare(actions, watcher->record.description->gossip, message);
@@ -385,8 +391,8 @@
     if (isNews || this->budget.left(now) > 0) {
         this->news.fill(message, this->room(message), this->newsLimits(), this->memberTable,
                         this->endpointRecords);
-        // Statuses go with probes only, whose number is fixed; with every datagram of news they
-        // would use up the budget when news are many and must go out.
+        // Statuses don't go with News datagrams but with probes, whose rate is fixed; else they
+        // would use up the budget just when there is much news to send.
         const std::size_t statuses =
                 std::min(this->settings.statusesPerDatagram, this->room(message) / statusWireBytes);
         if (!isNews)
@@ -422,8 +428,9 @@
 
 bool Membership::mayExchange(state::Instant now)
 {
-    // A newcomer's pace is bounded by joinSyncInterval; its requests are small.
-    return !this->synced || this->budget.left(now) > -reserveBytes;
+    // A joining member may always exchange: joinSyncInterval limits its rate, its requests are
+    // small.
+    return !this->synced || this->budget.left(now) > -overdraftBytes;
 }
 
 std::size_t Membership::room(const GossipMessage &message) const
@@ -436,12 +443,12 @@
 {
     const double members = static_cast<double>(this->memberTable.entries().size());
     const auto digits =
-            static_cast<unsigned>(std::max(leastDigits, std::ceil(std::log10(members + 1))));
-    // In a flood, sending each description to a few and leaving the rest to the exchange is faster
-    // than repeating all of them.
-    const bool flood = this->news.size() > floodRecords;
+            static_cast<unsigned>(std::max(minimumDigits, std::ceil(std::log10(members + 1))));
+    // In a burst, sending each description only a few times and leaving the rest to the exchange is
+    // faster than repeating all of them.
+    const bool burst = this->news.size() > burstRecords;
     return {this->settings.criticalNewsFactor * digits, this->settings.urgentNewsFactor * digits,
-            flood ? floodSends : this->settings.ordinaryNewsFactor * digits};
+            burst ? burstSends : this->settings.ordinaryNewsFactor * digits};
 }
 
 } // namespace lavenderthread::coordination::membership
--- a/src/coordination/membership/Membership.h
+++ b/src/coordination/membership/Membership.h
@@ -1,5 +1,6 @@
-// Membership by gossip as a state machine: datagrams and ticks go in, datagrams to send come out.
-// It holds what this entry knows of all members and all endpoints, and spreads what changes.
+// SWIM-style gossip membership as a state machine: its inputs are datagrams and ticks, its outputs
+// are datagrams to send. It holds the records of all members and endpoints known to this entry and
+// spreads changes of them.
 #pragma once
 
 #include "coordination/endpoints/EndpointTable.h"
@@ -22,25 +23,26 @@
     GossipMessage message;
 };
 
-// An endpoint of which another member told that it gets no more work.
+// A received record by which an endpoint gets no more work: it left or is being drained.
 struct HeardEnd
 {
     state::EndpointId endpoint;
     std::uint64_t incarnation = 0;
     state::VmId sender;
-    GossipKind kind = GossipKind::News; // of the message
+    GossipKind kind = GossipKind::News; // of the message that carried the record
 };
 
+// What the caller has to do after an input: send datagrams and pass on the changes.
 struct GossipActions
 {
     std::vector<GossipSend> sends;
     std::vector<HeardEnd> ends;
-    bool membersChanged = false; // some record, not only a status
+    bool membersChanged = false; // a record changed; status changes don't count
     bool endpointsChanged = false;
-    std::vector<state::LoadReport> loads; // that arrived
+    std::vector<state::LoadReport> loads; // received in a Load message
 };
 
-// What the process says of itself.
+// The part of this member's own record and status that the process sets.
 struct SelfState
 {
     MemberPhase phase = MemberPhase::Joining;
@@ -54,13 +56,15 @@
 struct GossipCounters
 {
     std::uint64_t sentDatagrams = 0;
-    std::uint64_t sentBytes = 0; // upper bound, with seal and the headers of IP and UDP
-    std::uint64_t refusedCluster = 0;
-    std::uint64_t refusedIncarnation = 0;
+    std::uint64_t sentBytes = 0;      // upper bound, including the seal and the IP and UDP headers
+    std::uint64_t refusedCluster = 0; // datagrams of another cluster
+    std::uint64_t refusedIncarnation = 0; // datagrams of an outdated incarnation of their sender
 
     bool operator==(const GossipCounters &) const = default;
 };
 
+// Keeps the member and endpoint tables of one entry in agreement with those of all other members:
+// probes members, spreads news, and repairs missed news by full-state exchanges. It does no I/O.
 class Membership
 {
 public:
@@ -71,25 +75,26 @@
 
     // Call every tickInterval.
     GossipActions tick(state::Instant now);
-    // `from` is where the datagram came from; its seal has been checked.
+    // `from` is the source address of the datagram. The caller has verified the seal.
     GossipActions receive(const GossipMessage &message, const state::Address &from,
                           state::Instant now);
     GossipActions setSelf(const SelfState &next, state::Instant now);
-    // Merges a record made on this entry and spreads it if it was newer.
+    // Merges a record made by this entry and spreads it if it is newer than the known one.
     GossipActions publish(const endpoints::EndpointRecord &record, state::Instant now);
 
-    // Sends loads of endpoints announced here to `watchers`, unless the byte budget is used up.
+    // Sends the loads of endpoints announced to this entry to `watchers`, while more than half of
+    // the byte budget is left.
     GossipActions sendLoads(const std::vector<state::LoadReport> &loads,
                             const std::vector<state::VmId> &watchers, state::Instant now);
 
-    // Whether every live member has confirmed that the endpoint has left, as far as this member
-    // sees to it.
+    // False while this member waits for live members to confirm that the endpoint has left. True
+    // also if this member doesn't track the deregistration or has given up on it.
     bool isDeregisteredEverywhere(const state::EndpointId &endpoint) const
     {
         return !this->confirmedSpread.isOnItsWay(endpoint);
     }
-    // An endpoint that has left says so again: this member sees to it that all know if the one that
-    // it told first is gone.
+    // Handles a deregistration that an endpoint repeats: if its home entry is gone, this member
+    // collects the confirmations instead.
     void deregisteredAgain(const state::EndpointId &endpoint, state::Instant now);
 
     const MemberTable &members() const { return this->memberTable; }
@@ -98,25 +103,26 @@
     const MemberRecord &selfRecord() const;
     const GossipCounters &counters() const { return this->gossipCounters; }
     std::size_t pendingNews() const { return this->news.size(); }
-    // This process holds what the others know, or has waited long enough for it.
+    // True once an exchange found no difference, joinTimeout has passed, or there is nobody to ask.
     bool isSynced() const { return this->synced; }
     bool isIsolated(state::Instant now) const;
-    // A newer process runs under this id. This one must stop; it sends nothing any more.
+    // True once a newer process runs under this VM id. This one must stop; it sends nothing more.
     bool isSuperseded() const { return this->superseded; }
 
 private:
+    // A ping sent on behalf of another member.
     struct Relay
     {
         state::Address requester;
-        std::uint32_t sequence = 0;
-        state::Instant until;
+        std::uint32_t sequence = 0; // of the requester's PingRequest
+        state::Instant until;       // an ack that arrives later is not relayed
     };
 
     Membership(MembershipSettings chosen, state::Instant now);
 
     void probe(GossipActions &actions, state::Instant now);
     void gossip(GossipActions &actions, state::Instant now);
-    // Sends what has just been heard to a few members, at once.
+    // Sends new records to a few random members at once, without waiting for the next gossip round.
     void passOn(const std::vector<endpoints::EndpointRecord> &records, GossipActions &actions,
                 state::Instant now);
     void resendDeregistrations(GossipActions &actions, state::Instant now);
@@ -125,13 +131,15 @@
                             const endpoints::MergeResult &merged);
     void exchange(GossipActions &actions, state::Instant now);
     void reconnect(GossipActions &actions, state::Instant now);
-    // A direct ping that carries what is said of the target, whose ack then refutes it. A target
-    // that may not know this member is given an introduction.
+    // Sends a direct ping with the record that calls the target suspect or dead, so that its ack
+    // carries the refutation. `introduction` is added unless its id is empty; it is meant for a
+    // target that may not know this member.
     void pingAccused(const MemberRecord &target, const MemberRecord &introduction,
                      GossipActions &actions);
     void forget(GossipActions &actions, state::Instant now);
     std::optional<state::Address> exchangePeer();
-    std::vector<state::Address> unmetSeeds() const; // that no live member known here has
+    // Returns the seeds at whose addresses no live member is known.
+    std::vector<state::Address> unmetSeeds() const;
     void seekSeeds(GossipActions &actions, state::Instant now);
 
     bool isRefused(const GossipMessage &message, const state::Address &from, GossipActions &actions,
@@ -152,30 +160,34 @@
                  state::Instant now);
     GossipMessage makeMessage(GossipKind kind, std::uint32_t sequence = 0) const;
     void addSelf(GossipMessage &message) const;
-    // Fills the room that is left with news and statuses if the budget allows.
+    // Fills the rest of the datagram with news before sending. A message of another kind than News
+    // gets news and statuses only while the byte budget is above zero.
     void send(GossipActions &actions, const state::Address &to, GossipMessage message,
               state::Instant now);
+    // Sends the message as it is.
     void sendBare(GossipActions &actions, const state::Address &to, GossipMessage message);
     void sendRecords(GossipActions &actions, const state::Address &to,
                      const std::vector<std::uint64_t> &keys, std::size_t maximumMessages,
                      state::Instant now);
-    std::size_t room(const GossipMessage &message) const;
+    std::size_t room(const GossipMessage &message) const; // bytes left in its datagram
     NewsLimits newsLimits() const;
     bool mayExchange(state::Instant now);
 
     MembershipSettings settings;
     std::mt19937_64 random;
-    MemberTable memberTable; // always holds this member itself
+    MemberTable memberTable; // always contains this member
     endpoints::EndpointTable endpointRecords;
     NewsQueue news;
-    ConfirmedSpread confirmedSpread; // of endpoints that deregistered here
-    // Deregistrations that were heard of since the last tick, by the member that waits for a word.
+    // The deregistrations for which this member collects confirmations.
+    ConfirmedSpread confirmedSpread;
+    // Keys of deregistrations received since the last tick, by the member that waits for the
+    // confirmation.
     std::map<state::VmId, std::vector<std::uint64_t>> owedConfirmations;
     FailureDetector failureDetector;
     state::ByteBudget budget;
     GossipCounters gossipCounters;
     MemberStatus ownStatus;
-    std::map<std::uint32_t, Relay> relays; // by the sequence of the ping sent for the requester
+    std::map<std::uint32_t, Relay> relays; // by the sequence of the relayed ping
     std::uint32_t lastRelay = 0;
     state::Instant startedAt;
     state::Instant nextGossip;
@@ -184,7 +196,7 @@
     state::Instant nextSeek;
     state::Instant nextForget;
     bool synced = false;
-    bool differs = false; // from another member, by the last Summary
+    bool differs = false; // the last Summary reported differing buckets
     bool superseded = false;
 };
 
--- a/src/coordination/membership/MembershipReceive.cpp
+++ b/src/coordination/membership/MembershipReceive.cpp
@@ -1,4 +1,4 @@
-// Incoming half: what is refused, what is merged, and what each kind of message is answered with.
+// Incoming half of Membership: refuses or merges received messages and replies to them by kind.
 #include "coordination/membership/AntiEntropy.h"
 #include "coordination/membership/Membership.h"
 
@@ -8,10 +8,10 @@
 
 namespace {
 
-// Pings sent for others have sequences of their own, so that their acks can't be taken for those
-// of this member's probes.
+// Set in the sequences of pings that are relayed for other members, so that their acks aren't taken
+// for acks of this member's own probes.
 constexpr std::uint32_t relaySequenceBit = 1U << 31U;
-constexpr state::Duration relayKept = std::chrono::seconds(2);
+constexpr state::Duration relayTimeout = std::chrono::seconds(2);
 constexpr std::size_t recordMessagesPerPull = 8;
 
 } // namespace
@@ -37,17 +37,17 @@
         return true;
     }
     if (message.sender == this->settings.self) {
-        MemberRecord twin = this->selfRecord();
-        twin.incarnation = message.senderIncarnation;
-        if (twin.incarnation > this->selfRecord().incarnation)
-            this->applySelf(twin, actions, now);
+        MemberRecord senderRecord = this->selfRecord();
+        senderRecord.incarnation = message.senderIncarnation;
+        if (senderRecord.incarnation > this->selfRecord().incarnation)
+            this->applySelf(senderRecord, actions, now);
         return true;
     }
     const MemberEntry *sender = this->memberTable.find(message.sender);
     if (sender == nullptr || message.senderIncarnation >= sender->record.incarnation)
         return false;
-    // A process that was replaced, or one started with a clock behind its predecessor's. What it
-    // says is old; the answer tells it so, and it stops or takes a higher incarnation.
+    // The sender was replaced, or it started with a clock behind that of its predecessor. Its
+    // records are outdated; the reply tells it so, and it stops or takes a higher incarnation.
     ++this->gossipCounters.refusedIncarnation;
     if (this->budget.left(now) > 0) {
         GossipMessage correction = this->makeMessage(GossipKind::Records);
@@ -61,7 +61,7 @@
                               GossipActions &actions, state::Instant now)
 {
     const bool spread = message.kind != GossipKind::Records;
-    std::vector<std::uint64_t> outdatedAtSender;
+    std::vector<std::uint64_t> keysOutdatedAtSender;
     for (const MemberRecord &record : message.members) {
         if (record.id == this->settings.self) {
             this->applySelf(record, actions, now);
@@ -69,7 +69,7 @@
         }
         const ApplyResult result = this->memberTable.apply(record, now);
         if (result == ApplyResult::Older)
-            outdatedAtSender.push_back(memberKey(record.id));
+            keysOutdatedAtSender.push_back(memberKey(record.id));
         if (result == ApplyResult::Same)
             this->news.heardAgain({NewsSubject::Member, record.id.value()});
         if (result != ApplyResult::Changed)
@@ -86,7 +86,7 @@
         const endpoints::MergeResult merged = this->endpointRecords.apply(record, now);
         this->noteDeregistration(message, record, merged);
         if (merged.newsIsOlder)
-            outdatedAtSender.push_back(endpoints::endpointKey(record.id));
+            keysOutdatedAtSender.push_back(endpoints::endpointKey(record.id));
         if (!merged.changed) {
             if (!merged.newsIsOlder)
                 this->news.heardAgain({NewsSubject::Endpoint, record.id.value()});
@@ -108,10 +108,10 @@
         if (status.member != this->ownStatus.member)
             this->memberTable.applyStatus(status);
     }
-    // News is often behind what the receiver knows; only a full-state exchange that pushed an old
-    // record is corrected, else every late piece of news would be answered.
-    if (!spread && !outdatedAtSender.empty())
-        this->sendRecords(actions, from, outdatedAtSender, 1, now);
+    // Only outdated records pushed by a full-state exchange are corrected. News is often older than
+    // what the receiver knows, and correcting it would mean a reply to every late datagram.
+    if (!spread && !keysOutdatedAtSender.empty())
+        this->sendRecords(actions, from, keysOutdatedAtSender, 1, now);
 }
 
 void Membership::applySelf(const MemberRecord &claim, GossipActions &actions, state::Instant now)
@@ -120,7 +120,7 @@
     if (!claim.supersedes(own))
         return;
     if (claim.incarnation == own.incarnation) {
-        own.version = claim.version + 1; // refutes suspicion, death, or an earlier life's phase
+        own.version = claim.version + 1; // refutes suspicion, death or a predecessor's phase
         this->changeSelf(own, actions, now);
         return;
     }
@@ -128,8 +128,8 @@
         this->superseded = true;
         return;
     }
-    // Not yet serving, so nobody relies on this process: the other incarnation is an earlier one
-    // that ran with a clock ahead of ours.
+    // This process is still joining, so nobody relies on it: the claim stems from a predecessor
+    // whose clock was ahead of the current one.
     own.incarnation = claim.incarnation + 1;
     own.version = 0;
     this->ownStatus.sequence = std::max(this->ownStatus.sequence, own.incarnation);
@@ -142,17 +142,17 @@
 {
     switch (message.kind) {
     case GossipKind::Ping: {
-        // An address may be used again by another VM; the ack must come from the one that is meant.
+        // Another VM may have taken over the address; only the addressed member may acknowledge.
         if (message.target != this->settings.self)
             return;
         GossipMessage ack = this->makeMessage(GossipKind::Ack, message.sequence);
         const MemberEntry *sender = this->memberTable.find(message.sender);
         if (sender != nullptr && sender->record.health != MemberHealth::Alive)
             ack.members.push_back(sender->record);
-        const bool accused = std::any_of(
+        const bool carriesSelfRecord = std::any_of(
                 message.members.begin(), message.members.end(),
                 [&](const MemberRecord &record) { return record.id == this->settings.self; });
-        if (accused)
+        if (carriesSelfRecord)
             this->addSelf(ack);
         this->send(actions, from, std::move(ack), now);
         return;
@@ -203,7 +203,7 @@
     if (target == nullptr || !target->record.isLive())
         return;
     const std::uint32_t sequence = ++this->lastRelay | relaySequenceBit;
-    this->relays[sequence] = Relay{from, message.sequence, now + relayKept};
+    this->relays[sequence] = Relay{from, message.sequence, now + relayTimeout};
     GossipMessage ping = this->makeMessage(GossipKind::Ping, sequence);
     ping.target = message.target;
     this->sendBare(actions, target->record.description->gossip, std::move(ping));
--- a/src/coordination/membership/NewsQueue.cpp
+++ b/src/coordination/membership/NewsQueue.cpp
@@ -1,4 +1,4 @@
-// Bounded piggy-backing of news.
+// Bounded piggybacking of news on gossip datagrams.
 #include "coordination/membership/NewsQueue.h"
 
 #include <algorithm>
@@ -7,14 +7,14 @@
 
 namespace {
 
-unsigned limitOf(NewsUrgency urgency, const NewsLimits &limits)
+unsigned maximumSends(NewsUrgency urgency, const NewsLimits &limits)
 {
     if (urgency == NewsUrgency::Critical)
         return limits.critical;
     return urgency == NewsUrgency::Urgent ? limits.urgent : limits.ordinary;
 }
 
-// Adds the record if it fits; gives the bytes that it took, 0 if it did not fit.
+// Adds the record if it fits. Returns its size in bytes, or 0 if it does not fit.
 template <typename Record>
 std::size_t addIfFits(std::vector<Record> &list, Record record, std::size_t room)
 {
@@ -30,7 +30,7 @@
 void NewsQueue::add(const NewsKey &key, NewsForm form, NewsUrgency urgency)
 {
     Item &item = this->items[key];
-    // A full record that is still spreading stays full, so that nobody is left without it.
+    // A full record that is still spreading stays full, so that every member gets the description.
     if (form == NewsForm::Full)
         item.form = NewsForm::Full;
     item.urgency = urgency;
@@ -60,7 +60,7 @@
     order.reserve(this->items.size());
     for (Position position = this->items.begin(); position != this->items.end(); ++position)
         order.push_back(position);
-    constexpr std::size_t mostPerDatagram = 64; // more short records than fit
+    constexpr std::size_t mostPerDatagram = 64; // more short records than fit into a datagram
     const std::size_t considered = std::min(mostPerDatagram, order.size());
     std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(considered),
                       order.end(), [](Position a, Position b) {
@@ -80,17 +80,18 @@
             member = members.find(state::VmId(key.id));
         else
             endpoint = endpointTable.find(state::EndpointId(key.id));
-        std::size_t taken = 0;
+        std::size_t bytesAdded = 0;
         if (member != nullptr)
-            taken = addIfFits(message.members, inForm(member->record, item.form), bytes);
+            bytesAdded = addIfFits(message.members, inForm(member->record, item.form), bytes);
         else if (endpoint != nullptr)
-            taken = addIfFits(message.endpointRecords, inForm(endpoint->record, item.form), bytes);
-        bytes -= taken;
-        const unsigned limit = limitOf(item.urgency, limits);
-        const bool forgotten = member == nullptr && endpoint == nullptr;
-        if (taken > 0)
+            bytesAdded =
+                    addIfFits(message.endpointRecords, inForm(endpoint->record, item.form), bytes);
+        bytes -= bytesAdded;
+        const unsigned limit = maximumSends(item.urgency, limits);
+        const bool isForgotten = member == nullptr && endpoint == nullptr;
+        if (bytesAdded > 0)
             ++item.sends;
-        if (forgotten || item.sends >= limit)
+        if (isForgotten || item.sends >= limit)
             this->items.erase(position);
     }
 }
--- a/src/coordination/membership/NewsQueue.h
+++ b/src/coordination/membership/NewsQueue.h
@@ -1,5 +1,5 @@
-// Which records still have to be spread, and how often each was sent. Holds names only: a record
-// that changes again while it spreads is sent in its newest form.
+// Queue of the records that still have to be spread, with the number of sends of each. It holds
+// keys only, so a record that changes again while it spreads is sent in its newest version.
 #pragma once
 
 #include "coordination/endpoints/EndpointTable.h"
@@ -22,8 +22,8 @@
     auto operator<=>(const NewsKey &) const = default;
 };
 
-enum class NewsForm : std::uint8_t { Short, Full };
-// A member's or an endpoint's record as it is sent in that form.
+enum class NewsForm : std::uint8_t { Short, Full }; // Short: without the description
+// Returns a member's or an endpoint's record as it is sent in that form.
 template <typename Record>
 Record inForm(Record record, NewsForm form)
 {
@@ -32,14 +32,14 @@
     return record;
 }
 
-// The more urgent goes first into a datagram.
+// Ordered: more urgent records go into a datagram first.
 enum class NewsUrgency : std::uint8_t {
-    Critical, // an endpoint must get no more work, or may again; rare and short
-    Urgent,   // what is said of members; many when the network is bad
-    Ordinary, // whole descriptions of endpoints
+    Critical, // an endpoint must get no more work, or may get work again; rare and short
+    Urgent,   // member records; frequent when the network is bad
+    Ordinary, // endpoint records with their descriptions
 };
 
-// Sends of one record by one member, at most.
+// Maximum number of times that one member sends the same record, by urgency.
 struct NewsLimits
 {
     unsigned critical = 0;
@@ -47,14 +47,16 @@
     unsigned ordinary = 0;
 };
 
+// Picks the records to piggyback on datagrams and drops each after its maximum number of sends.
 class NewsQueue
 {
 public:
+    // Adds a record, or starts its sends anew if it is queued already.
     void add(const NewsKey &key, NewsForm form, NewsUrgency urgency);
-    // Another member sent the same record: it is spreading already, so fewer sends are left to do.
-    // Urgent news go on regardless: they are short, and must not wait for the exchange.
+    // Counts a record received from another member as a send, because it is spreading already. Only
+    // ordinary news is counted: the rest is short and must not wait for the exchange.
     void heardAgain(const NewsKey &key);
-    // Adds records that fit into `bytes` to `message`, urgent ones and those sent least first.
+    // Adds records to `message` as far as they fit into `bytes`, by urgency and then fewest sends.
     void fill(GossipMessage &message, std::size_t bytes, const NewsLimits &limits,
               const MemberTable &members, const endpoints::EndpointTable &endpointTable);
     bool empty() const { return this->items.empty(); }
@@ -67,7 +69,7 @@
         NewsForm form = NewsForm::Short;
         NewsUrgency urgency = NewsUrgency::Ordinary;
         unsigned sends = 0;
-        std::uint64_t serial = 0; // breaks ties, older first
+        std::uint64_t serial = 0; // breaks ties; the lower one goes first
     };
 
     std::map<NewsKey, Item> items;
--- a/tests/coordination/membership/ConfirmedSpreadTest.cpp
+++ b/tests/coordination/membership/ConfirmedSpreadTest.cpp
@@ -1,4 +1,4 @@
-// Who is told of a deregistration again, and when that ends.
+// Tests which members are sent a deregistration again and when it is finished.
 #include "coordination/membership/ConfirmedSpread.h"
 
 #include <cppunit/TestFixture.h>
@@ -44,7 +44,7 @@
     return record;
 }
 
-std::set<state::VmId> told(const std::vector<ConfirmedSpread::Missing> &due)
+std::set<state::VmId> recipients(const std::vector<ConfirmedSpread::Missing> &due)
 {
     std::set<state::VmId> members;
     for (const ConfirmedSpread::Missing &missing : due)
@@ -54,100 +54,103 @@
 
 } // namespace
 
-class ConfirmedSpreadTest : public CppUnit::TestFixture
+class DeregistrationTrackerTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(ConfirmedSpreadTest);
-    CPPUNIT_TEST(onlyThoseThatHaveNotConfirmedAreToldAgain);
-    CPPUNIT_TEST(membersThatDieAreNotWaitedFor);
-    CPPUNIT_TEST(newcomerIsToldWhileItIsOnItsWay);
-    CPPUNIT_TEST(silentMembersAreGivenUp);
-    CPPUNIT_TEST(silentMembersDoNotTakeAllTurns);
-    CPPUNIT_TEST(confirmationOfAnEarlierLifeDoesNotCount);
+    CPPUNIT_TEST_SUITE(DeregistrationTrackerTest);
+    CPPUNIT_TEST(onlyUnconfirmedMembersGetResends);
+    CPPUNIT_TEST(deadMembersAreNotWaitedFor);
+    CPPUNIT_TEST(joiningMemberGetsPendingDeregistration);
+    CPPUNIT_TEST(silentMembersAreGivenUpAfterLimit);
+    CPPUNIT_TEST(silentMembersDoNotBlockResendsToOthers);
+    CPPUNIT_TEST(confirmationOfEarlierIncarnationDoesNotCount);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void onlyThoseThatHaveNotConfirmedAreToldAgain()
+    void onlyUnconfirmedMembersGetResends()
     {
         const MemberTable members = membersUpTo(4);
-        ConfirmedSpread spread;
-        spread.begin(left("e"), at(0));
-        CPPUNIT_ASSERT(spread.due(members, self, at(100)).empty());
-        spread.confirmed(memberKey(idOf(1)), deregistrationKey(state::EndpointId("e"), 1));
-        CPPUNIT_ASSERT((told(spread.due(members, self, at(200))) == std::set{idOf(2), idOf(3)}));
-        CPPUNIT_ASSERT(spread.due(members, self, at(300)).empty());
-        spread.confirmed(memberKey(idOf(2)), deregistrationKey(state::EndpointId("e"), 1));
-        CPPUNIT_ASSERT((told(spread.due(members, self, at(400))) == std::set{idOf(3)}));
-        spread.confirmed(memberKey(idOf(3)), deregistrationKey(state::EndpointId("e"), 1));
-        spread.settle(members, self, at(410));
-        CPPUNIT_ASSERT(!spread.isOnItsWay(state::EndpointId("e")));
+        ConfirmedSpread tracker;
+        tracker.begin(left("e"), at(0));
+        CPPUNIT_ASSERT(tracker.due(members, self, at(100)).empty());
+        tracker.confirmed(memberKey(idOf(1)), deregistrationKey(state::EndpointId("e"), 1));
+        CPPUNIT_ASSERT(
+                (recipients(tracker.due(members, self, at(200))) == std::set{idOf(2), idOf(3)}));
+        CPPUNIT_ASSERT(tracker.due(members, self, at(300)).empty());
+        tracker.confirmed(memberKey(idOf(2)), deregistrationKey(state::EndpointId("e"), 1));
+        CPPUNIT_ASSERT((recipients(tracker.due(members, self, at(400))) == std::set{idOf(3)}));
+        tracker.confirmed(memberKey(idOf(3)), deregistrationKey(state::EndpointId("e"), 1));
+        tracker.settle(members, self, at(410));
+        CPPUNIT_ASSERT(!tracker.isOnItsWay(state::EndpointId("e")));
     }
 
-    void membersThatDieAreNotWaitedFor()
+    void deadMembersAreNotWaitedFor()
     {
         MemberTable members = membersUpTo(3);
-        ConfirmedSpread spread;
-        spread.begin(left("e"), at(0));
-        spread.confirmed(memberKey(idOf(1)), deregistrationKey(state::EndpointId("e"), 1));
-        spread.settle(members, self, at(300));
-        CPPUNIT_ASSERT(spread.isOnItsWay(state::EndpointId("e")));
+        ConfirmedSpread tracker;
+        tracker.begin(left("e"), at(0));
+        tracker.confirmed(memberKey(idOf(1)), deregistrationKey(state::EndpointId("e"), 1));
+        tracker.settle(members, self, at(300));
+        CPPUNIT_ASSERT(tracker.isOnItsWay(state::EndpointId("e")));
         MemberRecord dead = memberOf(2);
         dead.health = MemberHealth::Dead;
         members.apply(dead, at(400));
-        spread.settle(members, self, at(400));
-        CPPUNIT_ASSERT(!spread.isOnItsWay(state::EndpointId("e")));
+        tracker.settle(members, self, at(400));
+        CPPUNIT_ASSERT(!tracker.isOnItsWay(state::EndpointId("e")));
     }
 
-    // Guards against a process that starts beside a deregistration, and has its state from a member
-    // that had not heard of it.
-    void newcomerIsToldWhileItIsOnItsWay()
+    // Guards against a process that starts during a deregistration, gets its state from a member
+    // that doesn't know of the deregistration yet, and is never told.
+    void joiningMemberGetsPendingDeregistration()
     {
         MemberTable members = membersUpTo(3);
-        ConfirmedSpread spread;
-        spread.begin(left("e"), at(0));
-        spread.confirmed(memberKey(idOf(1)), deregistrationKey(state::EndpointId("e"), 1));
+        ConfirmedSpread tracker;
+        tracker.begin(left("e"), at(0));
+        tracker.confirmed(memberKey(idOf(1)), deregistrationKey(state::EndpointId("e"), 1));
         members.apply(memberOf(7), at(100));
-        CPPUNIT_ASSERT((told(spread.due(members, self, at(200))) == std::set{idOf(2), idOf(7)}));
+        CPPUNIT_ASSERT(
+                (recipients(tracker.due(members, self, at(200))) == std::set{idOf(2), idOf(7)}));
     }
 
-    void silentMembersAreGivenUp()
+    void silentMembersAreGivenUpAfterLimit()
     {
         const MemberTable members = membersUpTo(2);
-        ConfirmedSpread spread;
-        spread.begin(left("e"), at(0));
-        spread.settle(members, self, at(9'999));
-        CPPUNIT_ASSERT(spread.isOnItsWay(state::EndpointId("e")));
-        spread.settle(members, self, at(10'000));
-        CPPUNIT_ASSERT(!spread.isOnItsWay(state::EndpointId("e")));
+        ConfirmedSpread tracker;
+        tracker.begin(left("e"), at(0));
+        tracker.settle(members, self, at(9'999));
+        CPPUNIT_ASSERT(tracker.isOnItsWay(state::EndpointId("e")));
+        tracker.settle(members, self, at(10'000));
+        CPPUNIT_ASSERT(!tracker.isOnItsWay(state::EndpointId("e")));
     }
 
-    // Guards against a failure domain that is lost and not known to be: its members would be told
-    // again and again, and those that live never.
-    void silentMembersDoNotTakeAllTurns()
+    // Guards against a failure domain that failed and is not yet recorded as dead: if its members
+    // got all resends, the live members would get none.
+    void silentMembersDoNotBlockResendsToOthers()
     {
         const MemberTable members = membersUpTo(200);
-        ConfirmedSpread spread;
-        spread.begin(left("e"), at(0));
+        ConfirmedSpread tracker;
+        tracker.begin(left("e"), at(0));
         std::set<state::VmId> all;
         for (int tick = 1; tick <= 8; ++tick) {
-            const std::set<state::VmId> now = told(spread.due(members, self, at(tick * 200)));
-            CPPUNIT_ASSERT(now.size() <= ConfirmedSpreadSettings().membersPerResend);
-            all.insert(now.begin(), now.end());
+            const std::set<state::VmId> resentTo =
+                    recipients(tracker.due(members, self, at(tick * 200)));
+            CPPUNIT_ASSERT(resentTo.size() <= ConfirmedSpreadSettings().membersPerResend);
+            all.insert(resentTo.begin(), resentTo.end());
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t(199), all.size());
     }
 
-    void confirmationOfAnEarlierLifeDoesNotCount()
+    void confirmationOfEarlierIncarnationDoesNotCount()
     {
         const MemberTable members = membersUpTo(2);
-        ConfirmedSpread spread;
-        spread.begin(left("e", 1), at(0));
-        spread.begin(left("e", 2), at(100));
-        spread.confirmed(memberKey(idOf(1)), deregistrationKey(state::EndpointId("e"), 1));
-        spread.settle(members, self, at(200));
-        CPPUNIT_ASSERT(spread.isOnItsWay(state::EndpointId("e")));
+        ConfirmedSpread tracker;
+        tracker.begin(left("e", 1), at(0));
+        tracker.begin(left("e", 2), at(100));
+        tracker.confirmed(memberKey(idOf(1)), deregistrationKey(state::EndpointId("e"), 1));
+        tracker.settle(members, self, at(200));
+        CPPUNIT_ASSERT(tracker.isOnItsWay(state::EndpointId("e")));
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(ConfirmedSpreadTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(DeregistrationTrackerTest);
 
 } // namespace lavenderthread::coordination::membership
--- a/tests/coordination/membership/GossipFleet.cpp
+++ b/tests/coordination/membership/GossipFleet.cpp
@@ -1,4 +1,4 @@
-// Event loop of the fleet.
+// Event loop of the simulated fleet.
 #include "coordination/membership/GossipFleet.h"
 
 namespace lavenderthread::coordination::membership {
--- a/tests/coordination/membership/MembershipFaultTest.cpp
+++ b/tests/coordination/membership/MembershipFaultTest.cpp
@@ -1,4 +1,5 @@
-// Fault table of membership: who is declared dead, who is not, and what old or forged senders do.
+// Tests of membership under faults: failed nodes, lossy or partitioned networks, clocks set back,
+// replaced processes and datagrams of other clusters.
 #include "coordination/membership/GossipFleet.h"
 
 #include <cppunit/TestFixture.h>
@@ -10,15 +11,15 @@
 
 using std::chrono::seconds;
 
-constexpr std::size_t faulty = 5;
+constexpr std::size_t faultyNode = 5;
 
-bool isAt(std::size_t node, std::size_t other)
+bool isSameNode(std::size_t node, std::size_t other)
 {
     return node == other;
 }
 
-// Members that some other one holds for dead.
-std::size_t accusations(GossipFleet &fleet)
+// Counts the pairs of members of which one records the other as dead.
+std::size_t deadViewCount(GossipFleet &fleet)
 {
     std::size_t count = 0;
     for (std::size_t node = 0; node < fleet.size(); ++node)
@@ -31,24 +32,25 @@
 class MembershipFaultTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(MembershipFaultTest);
-    CPPUNIT_TEST(deadAreFoundAndLiveAreKept);
-    CPPUNIT_TEST(healedMembersComeBackEverywhere);
-    CPPUNIT_TEST(isolatedMemberAccusesNobody);
-    CPPUNIT_TEST(splitHalvesJoinAgain);
-    CPPUNIT_TEST(islandsOfJoinersFindEachOther);
-    CPPUNIT_TEST(flappingMemberSettlesAlive);
+    CPPUNIT_TEST(onlyFailedMembersAreDeclaredDead);
+    CPPUNIT_TEST(isolatedMemberReturnsWithoutRestart);
+    CPPUNIT_TEST(isolatedMemberDeclaresNobodyDead);
+    CPPUNIT_TEST(partitionedHalvesMerge);
+    CPPUNIT_TEST(separateGroupsOfJoiningMembersMerge);
+    CPPUNIT_TEST(flappingMemberEndsAlive);
     CPPUNIT_TEST(oldIncarnationIsRefusedAndStops);
-    CPPUNIT_TEST(joinerWithClockBehindTakesHigherIncarnation);
+    CPPUNIT_TEST(joiningMemberWithClockBehindTakesHigherIncarnation);
     CPPUNIT_TEST(wrongClusterAndWrongTargetChangeNothing);
     CPPUNIT_TEST(settingsOutOfRangeAreRefused);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void deadAreFoundAndLiveAreKept()
+    void onlyFailedMembersAreDeclaredDead()
     {
-        // Callers of a dead entry wait for timeouts, so it must leave all views; a live one whose
-        // datagrams are lost now and then must stay. One-way loss: the member hears its accusation
-        // but its refutation gets nowhere, or it hears nothing at all; both are as good as dead.
+        // Callers of a dead entry wait for timeouts, so all members must record it as dead. A live
+        // entry must not be declared dead because of occasional loss. With one-way loss, either the
+        // member's refutations get lost or it receives nothing; it must be declared dead in both
+        // cases.
         struct Case
         {
             const char *name;
@@ -64,13 +66,13 @@
                  [](std::size_t from, std::size_t to) { return !(from == 5 && to == 6); }, false},
                 {"isolated", 0.05,
                  [](std::size_t from, std::size_t to) {
-                     return !isAt(from, faulty) && !isAt(to, faulty);
+                     return !isSameNode(from, faultyNode) && !isSameNode(to, faultyNode);
                  },
                  true},
                 {"sends nothing", 0.05,
-                 [](std::size_t from, std::size_t) { return !isAt(from, faulty); }, true},
+                 [](std::size_t from, std::size_t) { return !isSameNode(from, faultyNode); }, true},
                 {"hears nothing", 0.05,
-                 [](std::size_t, std::size_t to) { return !isAt(to, faulty); }, true},
+                 [](std::size_t, std::size_t to) { return !isSameNode(to, faultyNode); }, true},
         };
         for (const Case &fault : cases)
             for (std::uint64_t seed = 11; seed < 15; ++seed) {
@@ -79,12 +81,12 @@
                 fleet.passes = fault.passes;
                 for (int second = 0; second < 40; ++second) {
                     fleet.run(seconds(1));
-                    CPPUNIT_ASSERT_MESSAGE(fault.name, fault.dies || accusations(fleet) == 0);
+                    CPPUNIT_ASSERT_MESSAGE(fault.name, fault.dies || deadViewCount(fleet) == 0);
                 }
                 for (std::size_t node = 0; node < fleet.size(); ++node) {
-                    const bool expectDead = fault.dies && node == faulty;
+                    const bool expectDead = fault.dies && node == faultyNode;
                     const std::size_t dead = fleet.seeing(node, MemberHealth::Dead);
-                    // The faulty member's own opinion counts for nothing here.
+                    // One view of a live member may be dead: that of the faulty member.
                     CPPUNIT_ASSERT_MESSAGE(
                             std::string(fault.name) + ", member " + std::to_string(node),
                             expectDead ? dead == 17 : dead <= (fault.dies ? 1U : 0U));
@@ -92,12 +94,12 @@
             }
     }
 
-    void islandsOfJoinersFindEachOther()
+    void separateGroupsOfJoiningMembersMerge()
     {
-        // An operator starts a whole fleet at once and sees two half fleets that stay apart: each
-        // member asks seeds until it has met one other, and two pairs that meet at the same moment
-        // have no reason to ask again. Seen with six processes; here the pairs are made by a cut
-        // that ends once both have formed.
+        // Guards against a fleet that is started at once and stays in two separate halves: if each
+        // member contacts seeds only until it knows one other member, groups that form at the same
+        // time never contact seeds again. Seen with six processes; here a partition that ends after
+        // both groups have formed produces them.
         for (std::uint64_t seed = 31; seed < 41; ++seed) {
             GossipFleet fleet({.nodes = 6, .seed = seed, .preload = false});
             fleet.passes = [](std::size_t from, std::size_t to) { return from % 2 == to % 2; };
@@ -115,46 +117,47 @@
         }
     }
 
-    void healedMembersComeBackEverywhere()
+    void isolatedMemberReturnsWithoutRestart()
     {
-        // An isolated VM was declared dead while its process ran on. After the network heals, it
-        // must be named again by all, without a restart.
+        // An isolated VM is declared dead while its process goes on running. After the network
+        // heals, all members must record it as alive again without a restart.
         GossipFleet fleet({.nodes = 18, .loss = 0.05, .seed = 12});
         fleet.run(seconds(2));
         fleet.passes = [](std::size_t from, std::size_t to) {
-            return !isAt(from, faulty) && !isAt(to, faulty);
+            return !isSameNode(from, faultyNode) && !isSameNode(to, faultyNode);
         };
         fleet.run(seconds(60));
-        CPPUNIT_ASSERT_EQUAL(std::size_t(17), fleet.seeing(faulty, MemberHealth::Dead));
+        CPPUNIT_ASSERT_EQUAL(std::size_t(17), fleet.seeing(faultyNode, MemberHealth::Dead));
         fleet.passes = {};
-        const auto back = [&] { return fleet.seeing(faulty, MemberHealth::Alive) == 17; };
+        const auto back = [&] { return fleet.seeing(faultyNode, MemberHealth::Alive) == 17; };
         CPPUNIT_ASSERT(fleet.runUntil(back, seconds(30)) >= state::Duration::zero());
-        CPPUNIT_ASSERT(fleet.at(faulty).selfRecord().version > 1);
+        CPPUNIT_ASSERT(fleet.at(faultyNode).selfRecord().version > 1);
     }
 
-    void isolatedMemberAccusesNobody()
+    void isolatedMemberDeclaresNobodyDead()
     {
-        // While cut off, a member finds all others silent. If it declared them dead, each of them
-        // would have to refute that after the cut, and owners would move for nothing meanwhile.
+        // To an isolated member, all others are silent. If it declared them dead, each would have
+        // to refute that afterwards, and ownership would move needlessly meanwhile.
         GossipFleet fleet({.nodes = 18, .seed = 13});
         fleet.run(seconds(2));
         fleet.passes = [](std::size_t from, std::size_t to) {
-            return !isAt(from, faulty) && !isAt(to, faulty);
+            return !isSameNode(from, faultyNode) && !isSameNode(to, faultyNode);
         };
         fleet.run(seconds(120));
-        CPPUNIT_ASSERT(fleet.at(faulty).isIsolated(fleet.now()));
-        CPPUNIT_ASSERT_EQUAL(std::size_t(18), fleet.at(faulty).members().liveCount());
+        CPPUNIT_ASSERT(fleet.at(faultyNode).isIsolated(fleet.now()));
+        CPPUNIT_ASSERT_EQUAL(std::size_t(18), fleet.at(faultyNode).members().liveCount());
         fleet.passes = {};
         fleet.run(seconds(30));
-        CPPUNIT_ASSERT(!fleet.at(faulty).isIsolated(fleet.now()));
+        CPPUNIT_ASSERT(!fleet.at(faultyNode).isIsolated(fleet.now()));
         for (std::size_t node = 0; node < fleet.size(); ++node)
             CPPUNIT_ASSERT_EQUAL(std::size_t(17), fleet.seeing(node, MemberHealth::Alive));
     }
 
-    void splitHalvesJoinAgain()
+    void partitionedHalvesMerge()
     {
-        // Regions lose each other for an hour, and each half declares the other dead. Nobody probes
-        // the dead in the usual round; the slow reconnect has to bring the halves together.
+        // Regions lose each other for an hour, three minutes in this test, and each half declares
+        // the other dead. Probe rounds skip dead members, so only the slow reconnect can join the
+        // halves.
         GossipFleet fleet({.nodes = 12, .seed = 14});
         fleet.run(seconds(2));
         fleet.passes = [](std::size_t from, std::size_t to) { return (from < 6) == (to < 6); };
@@ -172,15 +175,16 @@
         CPPUNIT_ASSERT(fleet.runUntil(whole, seconds(60)) >= state::Duration::zero());
     }
 
-    void flappingMemberSettlesAlive()
+    void flappingMemberEndsAlive()
     {
-        // A VM's network comes and goes. Each accusation is refuted by a higher version, whatever
-        // order the two arrive in; when the network stays, all must agree that the VM lives.
+        // The network of a VM fails and recovers repeatedly. A higher version refutes each
+        // suspicion in whatever order the two arrive; once the network is stable, all members must
+        // record the VM as alive.
         GossipFleet fleet({.nodes = 18, .loss = 0.05, .duplication = 0.1, .seed = 15});
         fleet.run(seconds(2));
         bool cut = false;
         fleet.passes = [&](std::size_t from, std::size_t to) {
-            return !cut || (!isAt(from, faulty) && !isAt(to, faulty));
+            return !cut || (!isSameNode(from, faultyNode) && !isSameNode(to, faultyNode));
         };
         for (int turn = 0; turn < 12; ++turn) {
             cut = !cut;
@@ -188,21 +192,23 @@
         }
         cut = false;
         fleet.run(seconds(30));
-        CPPUNIT_ASSERT_EQUAL(std::size_t(17), fleet.seeing(faulty, MemberHealth::Alive));
+        CPPUNIT_ASSERT_EQUAL(std::size_t(17), fleet.seeing(faultyNode, MemberHealth::Alive));
     }
 
     void oldIncarnationIsRefusedAndStops()
     {
-        // A VM was replaced under its id while the old process was only stalled. When it wakes, its
-        // datagrams must change nothing, and it must learn that it is over.
+        // A VM is replaced under the same id while the old process is only stalled. When that
+        // process resumes, its datagrams must change nothing, and it must learn that it is
+        // superseded.
         GossipFleet fleet({.nodes = 6, .seed = 16});
         fleet.run(seconds(2));
-        Membership old = fleet.at(faulty);
-        fleet.restart(faulty, 9'000);
+        Membership old = fleet.at(faultyNode);
+        fleet.restart(faultyNode, 9'000);
         fleet.run(seconds(3));
-        fleet.serve(faulty);
+        fleet.serve(faultyNode);
         fleet.run(seconds(10));
-        const MemberRecord before = fleet.at(0).members().find(GossipFleet::idOf(faulty))->record;
+        const MemberRecord before =
+                fleet.at(0).members().find(GossipFleet::idOf(faultyNode))->record;
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(9'000), before.incarnation);
         GossipActions answered;
         for (const GossipSend &send : old.setSelf({MemberPhase::Leaving}, fleet.now()).sends)
@@ -218,37 +224,38 @@
         CPPUNIT_ASSERT(old.isSuperseded());
         CPPUNIT_ASSERT(old.tick(fleet.now()).sends.empty());
         CPPUNIT_ASSERT(fleet.at(0).counters().refusedIncarnation > 0);
-        const MemberRecord after = fleet.at(0).members().find(GossipFleet::idOf(faulty))->record;
+        const MemberRecord after =
+                fleet.at(0).members().find(GossipFleet::idOf(faultyNode))->record;
         CPPUNIT_ASSERT(after.phase == MemberPhase::Serving && after.incarnation == 9'000);
     }
 
-    void joinerWithClockBehindTakesHigherIncarnation()
+    void joiningMemberWithClockBehindTakesHigherIncarnation()
     {
-        // A process restarts on a VM whose clock was set back, so its incarnation is below that of
-        // its former life. It must not stay out for good.
+        // A process restarts on a VM whose clock was set back, so its incarnation is lower than
+        // that of its predecessor. It must not be refused forever.
         GossipFleet fleet({.nodes = 6, .seed = 17});
         fleet.run(seconds(2));
-        fleet.kill(faulty);
+        fleet.kill(faultyNode);
         fleet.run(seconds(20));
-        fleet.restart(faulty, 500);
+        fleet.restart(faultyNode, 500);
         fleet.run(seconds(10));
-        fleet.serve(faulty);
+        fleet.serve(faultyNode);
         fleet.run(seconds(10));
-        CPPUNIT_ASSERT(fleet.at(faulty).selfRecord().incarnation > 1'000);
-        CPPUNIT_ASSERT(!fleet.at(faulty).isSuperseded());
-        CPPUNIT_ASSERT_EQUAL(std::size_t(5), fleet.seeing(faulty, MemberHealth::Alive));
+        CPPUNIT_ASSERT(fleet.at(faultyNode).selfRecord().incarnation > 1'000);
+        CPPUNIT_ASSERT(!fleet.at(faultyNode).isSuperseded());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(5), fleet.seeing(faultyNode, MemberHealth::Alive));
     }
 
     void wrongClusterAndWrongTargetChangeNothing()
     {
-        // Two clusters share a network by a wrong setting, and an address is used again by another
-        // VM. Neither may leak members or let a ping be answered by the wrong process.
+        // Two clusters share a network because of a wrong setting, or another VM takes over an
+        // address. Neither may leak members or let the wrong process acknowledge a ping.
         GossipFleet fleet({.nodes = 3, .seed = 18});
-        MemberRecord stranger{state::VmId("stranger"), 1, 1, MemberPhase::Serving};
-        stranger.description = std::make_shared<const MemberDescription>();
+        MemberRecord foreignMember{state::VmId("stranger"), 1, 1, MemberPhase::Serving};
+        foreignMember.description = std::make_shared<const MemberDescription>();
         GossipMessage message{GossipKind::Ping,    "other", state::VmId("stranger"), 1, 4,
                               GossipFleet::idOf(0)};
-        message.members = {stranger};
+        message.members = {foreignMember};
         CPPUNIT_ASSERT(fleet.at(0).receive(message, {}, fleet.now()).sends.empty());
         CPPUNIT_ASSERT(fleet.at(0).members().find(state::VmId("stranger")) == nullptr);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), fleet.at(0).counters().refusedCluster);
--- a/tests/coordination/membership/MembershipSpreadTest.cpp
+++ b/tests/coordination/membership/MembershipSpreadTest.cpp
@@ -1,4 +1,5 @@
-// How news travels: within bounded time and bytes, under loss, to today's size and the planned one.
+// Tests that news reaches all members within bounded time and bytes, under loss, at the current
+// number of members and at the planned one.
 #include "coordination/membership/GossipFleet.h"
 
 #include <cppunit/TestFixture.h>
@@ -28,7 +29,7 @@
     return record;
 }
 
-// 126 members, on a network that loses datagrams, of which all know a service's endpoints.
+// Returns 126 members on a lossy network, all of which know the endpoints of a service.
 GossipFleet serviceBeforeRelease(std::size_t endpointCount, std::uint64_t seed, seconds settling)
 {
     FleetSettings settings{.nodes = 126, .loss = 0.05, .seed = seed};
@@ -41,7 +42,7 @@
     return fleet;
 }
 
-// One of the endpoints leaves and a new one takes its place; gives the farewell.
+// Replaces one endpoint by a new one. Returns the record of the endpoint that left.
 endpoints::EndpointRecord replaceEndpoint(GossipFleet &fleet, std::size_t index,
                                           std::size_t endpointCount)
 {
@@ -68,23 +69,23 @@
 {
     CPPUNIT_TEST_SUITE(MembershipSpreadTest);
     CPPUNIT_TEST(drainReachesEveryEntryInTime);
-    CPPUNIT_TEST(leavingOvertakesAFloodOfDescriptions);
-    CPPUNIT_TEST(farewellsOfAReleaseReachAllAtOnce);
-    CPPUNIT_TEST(newEndpointsOfAReleaseAreKnownAtOnce);
-    CPPUNIT_TEST(memberThatHeardNothingForAMomentLearnsOfADeregistration);
-    CPPUNIT_TEST(deregistrationIsConfirmedByAllWithinTheTimeOfItsAnswer);
-    CPPUNIT_TEST(deregistrationOutlivesTheMemberThatTookIt);
-    CPPUNIT_TEST(newcomerLearnsAllWithinBounds);
-    CPPUNIT_TEST(lateAndDoubledMarksNeverRevert);
-    CPPUNIT_TEST(steadyBytesStayInBudget);
+    CPPUNIT_TEST(criticalNewsOvertakesBurstOfDescriptions);
+    CPPUNIT_TEST(deregistrationsOfReleaseReachAllQuickly);
+    CPPUNIT_TEST(newEndpointsOfReleaseReachAllQuickly);
+    CPPUNIT_TEST(brieflyUnreachableMemberLearnsOfDeregistration);
+    CPPUNIT_TEST(allMembersConfirmDeregistrationWithinResponseTime);
+    CPPUNIT_TEST(repeatedDeregistrationIsTrackedAfterHomeDied);
+    CPPUNIT_TEST(joiningMemberLearnsAllWithinBounds);
+    CPPUNIT_TEST(lateAndDuplicatedDrainMarksNeverRevert);
+    CPPUNIT_TEST(steadyTrafficStaysWithinBudget);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     void drainReachesEveryEntryInTime()
     {
-        // An operator drains an endpoint at one entry while the network loses datagrams. Callers of
-        // the others must stop reaching that endpoint: news repeats on several paths, so loss only
-        // costs rounds.
+        // An operator drains an endpoint at one entry while the network loses datagrams. The other
+        // entries must stop sending their callers to it: news is repeated on several paths, so loss
+        // costs only additional rounds.
         struct Case
         {
             std::size_t nodes;
@@ -114,11 +115,12 @@
         }
     }
 
-    void leavingOvertakesAFloodOfDescriptions()
+    void criticalNewsOvertakesBurstOfDescriptions()
     {
-        // Callers still reach an endpoint that left 2.5 s ago. Many endpoints were announced at
-        // once, their descriptions filled every datagram, and the datagrams used up the bytes that
-        // a member may send; the short news of the one that left waited with all others.
+        // Guards against entries that send callers to an endpoint 2.5 s after it left: many
+        // endpoints are announced at once, their descriptions fill every datagram and use up the
+        // byte budget of the members, and the short record of the endpoint that left waits behind
+        // them.
         for (std::uint64_t seed = 1; seed <= 3; ++seed) {
             FleetSettings settings{.nodes = 126, .loss = 0.05, .seed = seed};
             settings.adjust = [](MembershipSettings &each) { each.bytesPerSecond = 5'000; };
@@ -145,12 +147,12 @@
         }
     }
 
-    void farewellsOfAReleaseReachAllAtOnce()
+    void deregistrationsOfReleaseReachAllQuickly()
     {
-        // A service is released: three endpoints a second leave and three new ones take their
-        // places, while the network loses datagrams. Members' byte budgets are used up by the new
-        // descriptions; farewells that waited for the next round of gossip reached the last entries
-        // after 2.2 to 9.8 s, and callers were still sent to endpoints that had left.
+        // During a release of a service, three endpoints a second are replaced while the network
+        // loses datagrams. The new descriptions use up the byte budgets of the members. When
+        // deregistrations waited for the next gossip round, they reached the last entries after 2.2
+        // to 9.8 s, and these entries still sent callers to endpoints that had left.
         constexpr std::size_t endpointCount = 30;
         GossipFleet fleet = serviceBeforeRelease(endpointCount, 5, seconds(6));
         std::vector<state::Duration> times;
@@ -175,13 +177,13 @@
                                worst <= std::chrono::milliseconds(800));
     }
 
-    void newEndpointsOfAReleaseAreKnownAtOnce()
+    void newEndpointsOfReleaseReachAllQuickly()
     {
-        // Half of a service's endpoints are replaced, three a second, in a fleet of 126 members
-        // that loses datagrams. The last entries heard of a new endpoint after up to 16 s; until
-        // then half of the service was out of use for them, and callers were refused.
+        // Half of a service's endpoints are replaced, three a second, among 126 members on a lossy
+        // network. Guards against entries that learn of a new endpoint only after up to 16 s: half
+        // of the service is unusable for them until then, and they refuse callers.
         constexpr std::size_t endpointCount = 36;
-        constexpr std::chrono::milliseconds gap{330};
+        constexpr std::chrono::milliseconds publishInterval{330};
         GossipFleet fleet = serviceBeforeRelease(endpointCount, 6, seconds(30));
         std::vector<state::Instant> publishedAt;
         std::vector<state::Duration> took(endpointCount, state::Duration(-1));
@@ -194,7 +196,7 @@
             }
             return true;
         };
-        const auto look = [&] {
+        const auto updateTimes = [&] {
             for (std::size_t index = 0; index < publishedAt.size(); ++index) {
                 if (took[index] < state::Duration::zero() && knownToAll(index))
                     took[index] = fleet.now() - publishedAt[index];
@@ -205,34 +207,39 @@
         for (std::size_t index = 0; index < endpointCount; ++index) {
             replaceEndpoint(fleet, index, endpointCount);
             publishedAt.push_back(fleet.now());
-            fleet.runUntil([&] { return look() || fleet.now() >= publishedAt.back() + gap; }, gap);
+            fleet.runUntil(
+                    [&] {
+                        return updateTimes() || fleet.now() >= publishedAt.back() + publishInterval;
+                    },
+                    publishInterval);
         }
-        CPPUNIT_ASSERT(fleet.runUntil(look, seconds(30)) >= state::Duration::zero());
+        CPPUNIT_ASSERT(fleet.runUntil(updateTimes, seconds(30)) >= state::Duration::zero());
         std::ranges::sort(took);
-        const state::Duration most = took[took.size() * 9 / 10];
+        const state::Duration ninthDecile = took[took.size() * 9 / 10];
         const state::Duration last = took.back();
-        CPPUNIT_ASSERT_MESSAGE("nine in ten took up to " + std::to_string(most.count())
+        CPPUNIT_ASSERT_MESSAGE("nine in ten took up to " + std::to_string(ninthDecile.count())
                                        + " us, the last " + std::to_string(last.count()) + " us",
-                               most <= std::chrono::milliseconds(1'500) && last <= seconds(6));
+                               ninthDecile <= std::chrono::milliseconds(1'500)
+                                       && last <= seconds(6));
     }
 
-    // Guards against a member that goes on sending work to an endpoint 2 s after it deregistered,
-    // because every datagram that told of it was lost on a link that was full for a moment.
-    void memberThatHeardNothingForAMomentLearnsOfADeregistration()
+    // Guards against a member that still sends work to an endpoint 2 s after its deregistration,
+    // because a link that was congested for a moment lost every datagram about it.
+    void brieflyUnreachableMemberLearnsOfDeregistration()
     {
         constexpr std::size_t endpointCount = 12;
-        constexpr std::size_t deafNode = 77;
-        constexpr std::chrono::milliseconds deafFor{900};
+        constexpr std::size_t unreachableNode = 77;
+        constexpr std::chrono::milliseconds unreachableFor{900};
         for (std::uint64_t seed = 1; seed <= 5; ++seed) {
             GossipFleet fleet = serviceBeforeRelease(endpointCount, seed, seconds(6));
             for (std::size_t index = 0; index < endpointCount; ++index) {
-                const state::Instant hearsFrom = fleet.now() + deafFor;
-                fleet.passes = [&fleet, hearsFrom](std::size_t, std::size_t to) {
-                    return to != deafNode || fleet.now() >= hearsFrom;
+                const state::Instant reachableFrom = fleet.now() + unreachableFor;
+                fleet.passes = [&fleet, reachableFrom](std::size_t, std::size_t to) {
+                    return to != unreachableNode || fleet.now() >= reachableFrom;
                 };
                 const endpoints::EndpointRecord left = replaceEndpoint(fleet, index, endpointCount);
                 const auto knows = [&] {
-                    const auto *entry = fleet.at(deafNode).endpointTable().find(left.id);
+                    const auto *entry = fleet.at(unreachableNode).endpointTable().find(left.id);
                     return entry != nullptr
                            && entry->record.phase == endpoints::EndpointPhase::Left;
                 };
@@ -245,8 +252,8 @@
         }
     }
 
-    // Guards against an answer to a leaving endpoint that is given, as a rule, before all know.
-    void deregistrationIsConfirmedByAllWithinTheTimeOfItsAnswer()
+    // Guards against a deregistration that is usually answered before all members know of it.
+    void allMembersConfirmDeregistrationWithinResponseTime()
     {
         constexpr std::size_t endpointCount = 20;
         GossipFleet fleet = serviceBeforeRelease(endpointCount, 3, seconds(6));
@@ -265,9 +272,9 @@
         }
     }
 
-    // Guards against a deregistration that nobody repeats once its member is gone, while the
-    // endpoint, which had no answer, has told another one.
-    void deregistrationOutlivesTheMemberThatTookIt()
+    // Guards against a deregistration that no member resends after the home entry died, although
+    // the endpoint, which got no answer, repeated it at another entry.
+    void repeatedDeregistrationIsTrackedAfterHomeDied()
     {
         GossipFleet fleet = serviceBeforeRelease(3, 4, seconds(6));
         constexpr std::size_t cutOff = 50;
@@ -281,10 +288,10 @@
         CPPUNIT_ASSERT(!fleet.at(0).isDeregisteredEverywhere(left.id));
     }
 
-    void newcomerLearnsAllWithinBounds()
+    void joiningMemberLearnsAllWithinBounds()
     {
-        // A VM is replaced. The newcomer knows one seed and must not answer callers before it knows
-        // the fleet; the members that teach it must stay within their datagram size.
+        // A VM is replaced. The new process starts from the seeds and must not answer callers
+        // before it knows the whole state; the members that send it must keep to the datagram size.
         FleetSettings settings{.nodes = 54, .loss = 0.05, .preload = true};
         GossipFleet fleet(settings);
         fleet.run(seconds(2));
@@ -321,10 +328,11 @@
         CPPUNIT_ASSERT(fleet.runUntil(known, seconds(12)) >= state::Duration::zero());
     }
 
-    void lateAndDoubledMarksNeverRevert()
+    void lateAndDuplicatedDrainMarksNeverRevert()
     {
-        // Drain, undrain and drain again while datagrams arrive doubled and in any order. An entry
-        // that applied an older mark last would send work to an endpoint that is leaving.
+        // An endpoint is drained and undrained repeatedly while datagrams arrive duplicated and in
+        // any order. An entry that applied an older drain mark last would send work to an endpoint
+        // that is being drained.
         GossipFleet fleet({.nodes = 18,
                            .loss = 0.1,
                            .duplication = 0.3,
@@ -351,9 +359,9 @@
             CPPUNIT_ASSERT(isDraining(fleet.at(node)));
     }
 
-    void steadyBytesStayInBudget()
+    void steadyTrafficStaysWithinBudget()
     {
-        // Control traffic competes with the tokens of callers on small VMs.
+        // On small VMs, gossip competes with the token streams of callers for bandwidth.
         GossipFleet fleet({.nodes = 100, .seed = 3});
         fleet.run(seconds(30));
         for (std::size_t node = 0; node < fleet.size(); ++node) {
