--- a/src/coordination/directory/Directory.cpp
+++ b/src/coordination/directory/Directory.cpp
@@ -1,4 +1,4 @@
-// Picks an account's entries and orders them for one caller.
+// Selects the entry nodes of a client account and orders them for one caller.
 #include "coordination/directory/Directory.h"
 
 #include "coordination/ownership/OwnerRing.h"
@@ -12,19 +12,20 @@
 
 using membership::MemberEntry;
 
-constexpr std::uint32_t wholeFleetMilli = 1'000;
-// In steps of load: half a millisecond to another failure domain is worth little, another region
-// is worth a loaded entry nearby.
+constexpr std::uint32_t wholeShareMilli = 1'000;
+// Costs in steps of a member's reported load. Another failure domain adds only half a millisecond,
+// so it costs little; another region costs as much as a loaded entry node nearby.
 constexpr unsigned otherDomainCost = 1;
 constexpr unsigned otherRegionCost = 8;
 
-bool isFit(const MemberEntry &entry, std::uint64_t requiredTableVersion)
+bool isEligible(const MemberEntry &entry, std::uint64_t requiredTableVersion)
 {
     return entry.record.isLive() && entry.record.phase == membership::MemberPhase::Serving
            && entry.record.ready && entry.status.tableVersion >= requiredTableVersion;
 }
 
-// A caller whose only entries share a failure domain would lose them all at once.
+// Replaces the last pick if all picks share one failure domain, since a failure of that domain
+// would take all of the caller's entry nodes at once.
 void spreadOverDomains(std::vector<const MemberEntry *> &picked,
                        const std::vector<const MemberEntry *> &ranked)
 {
@@ -33,24 +34,24 @@
     const auto domainOf = [](const MemberEntry *entry) {
         return entry->record.description->failureDomain;
     };
-    const auto differs = [&](const MemberEntry *entry) {
+    const auto isElsewhere = [&](const MemberEntry *entry) {
         return domainOf(entry) != domainOf(picked.front());
     };
-    if (std::any_of(picked.begin(), picked.end(), differs))
+    if (std::any_of(picked.begin(), picked.end(), isElsewhere))
         return;
-    const auto other = std::find_if(ranked.begin(), ranked.end(), differs);
+    const auto other = std::find_if(ranked.begin(), ranked.end(), isElsewhere);
     if (other != ranked.end())
         picked.back() = *other;
 }
 
-struct CallerPlace
+struct CallerLocation
 {
     state::FailureDomain failureDomain;
     state::Region region; // empty if the failure domain is not known
 };
 
-CallerPlace placeOf(const state::FailureDomain &failureDomain,
-                    const membership::MemberTable &members)
+CallerLocation locationOf(const state::FailureDomain &failureDomain,
+                          const membership::MemberTable &members)
 {
     for (const auto &[id, entry] : members.entries()) {
         if (entry.record.description->failureDomain == failureDomain)
@@ -59,13 +60,13 @@
     return {failureDomain, {}};
 }
 
-unsigned costOf(const MemberEntry &entry, const CallerPlace &place)
+unsigned costOf(const MemberEntry &entry, const CallerLocation &location)
 {
     unsigned cost = entry.status.load;
     const membership::MemberDescription &description = *entry.record.description;
-    if (!place.region.empty() && description.region != place.region)
+    if (!location.region.empty() && description.region != location.region)
         cost += otherRegionCost;
-    else if (!place.failureDomain.empty() && description.failureDomain != place.failureDomain)
+    else if (!location.failureDomain.empty() && description.failureDomain != location.failureDomain)
         cost += otherDomainCost;
     return cost;
 }
@@ -85,31 +86,32 @@
 DirectoryAnswer Directory::answer(const DirectoryRequest &request,
                                   const membership::MemberTable &members) const
 {
-    std::vector<state::VmId> fit;
+    std::vector<state::VmId> eligible;
     for (const auto &[id, entry] : members.entries()) {
-        if (isFit(entry, request.requiredTableVersion))
-            fit.push_back(id);
+        if (isEligible(entry, request.requiredTableVersion))
+            eligible.push_back(id);
     }
-    const double share = std::min(request.fleetShareMilli, wholeFleetMilli)
-                         / static_cast<double>(wholeFleetMilli);
-    const auto wanted = static_cast<std::size_t>(
-            std::ceil(share * this->settings.headroom * static_cast<double>(fit.size())));
+    const double share = std::min(request.fleetShareMilli, wholeShareMilli)
+                         / static_cast<double>(wholeShareMilli);
+    const auto desired = static_cast<std::size_t>(
+            std::ceil(share * this->settings.headroom * static_cast<double>(eligible.size())));
     const std::size_t count =
-            std::clamp(wanted, this->settings.minimumEntries, this->settings.maximumEntries);
+            std::clamp(desired, this->settings.minimumEntries, this->settings.maximumEntries);
 
     std::vector<const MemberEntry *> ranked;
-    for (const state::VmId &id : ownership::pickMembers(fit, request.account.value(), fit.size()))
+    for (const state::VmId &id :
+         ownership::pickMembers(eligible, request.account.value(), eligible.size()))
         ranked.push_back(members.find(id));
     std::vector<const MemberEntry *> picked(
             ranked.begin(),
             ranked.begin() + static_cast<std::ptrdiff_t>(std::min(count, ranked.size())));
     spreadOverDomains(picked, ranked);
 
-    const CallerPlace place = placeOf(request.callerFailureDomain, members);
+    const CallerLocation location = locationOf(request.callerFailureDomain, members);
     std::sort(picked.begin(), picked.end(), [&](const MemberEntry *a, const MemberEntry *b) {
         const auto order = [&](const MemberEntry *entry) {
             const bool suspect = entry->record.health != membership::MemberHealth::Alive;
-            return std::tuple(suspect, costOf(*entry, place),
+            return std::tuple(suspect, costOf(*entry, location),
                               ownership::rendezvousWeight(entry->key, request.callerHash));
         };
         return order(a) < order(b);
--- a/src/coordination/directory/Directory.h
+++ b/src/coordination/directory/Directory.h
@@ -1,4 +1,4 @@
-// The answer to a caller that asks which addresses to use.
+// Directory of entry nodes: tells a caller which addresses to connect to.
 #pragma once
 
 #include "coordination/membership/MemberTable.h"
@@ -10,41 +10,42 @@
 
 struct DirectorySettings
 {
-    state::Duration timeToLive = std::chrono::seconds(10);
-    std::size_t minimumEntries = 3; // so that one or two may fail while a caller holds its answer
+    state::Duration timeToLive = std::chrono::seconds(10); // for which a caller keeps an answer
+    std::size_t minimumEntries = 3; // one or two may fail while a caller holds its answer
     std::size_t maximumEntries = 16;
-    // An account's entries carry this many times its share of all entries' work.
+    // An account gets entry nodes for this many times its share of the work of all entry nodes.
     double headroom = 1.5;
 };
 
 struct DirectoryRequest
 {
     state::ClientAccountId account;
-    std::uint32_t fleetShareMilli = 0;        // of the account over its work classes, 0 to 1000
-    state::FailureDomain callerFailureDomain; // empty if not known
-    std::uint64_t callerHash = 0;             // spreads the callers of one account
-    // Members known to admit under an older table are not named. The version that this entry held
-    // a while ago, longer than a change takes to reach all.
+    std::uint32_t fleetShareMilli = 0; // the account's share over its work classes, 0 to 1000
+    state::FailureDomain callerFailureDomain; // empty if unknown
+    std::uint64_t callerHash = 0;             // distributes the callers of one account
+    // Members known to admit requests under an older version of the operators' table are left out.
+    // Set to the version that this entry node held longer ago than a change takes to reach all.
     std::uint64_t requiredTableVersion = 0;
 };
 
 struct DirectoryAnswer
 {
-    std::vector<state::Address> addresses; // the first is to be tried first
+    std::vector<state::Address> addresses; // in order of preference
     state::Duration timeToLive{};
 
     bool operator==(const DirectoryAnswer &) const = default;
 };
 
-// Immutable.
+// Selects and orders the entry nodes for a caller. Immutable.
 class Directory
 {
 public:
     // Error: InvalidArgument, step "directory.create".
     static state::Result<Directory> create(const DirectorySettings &settings);
 
-    // Empty addresses if no member is fit. Steering is by rendezvous: an account keeps its entries
-    // while they are fit, and one that becomes unfit is the only one replaced.
+    // Returns no addresses if no member is eligible. Rendezvous hashing selects the members: an
+    // account keeps its entry nodes while they are eligible, and only one that becomes ineligible
+    // is replaced.
     DirectoryAnswer answer(const DirectoryRequest &request,
                            const membership::MemberTable &members) const;
     const DirectorySettings &current() const { return this->settings; }
--- a/src/coordination/directory/EntryShutdown.cpp
+++ b/src/coordination/directory/EntryShutdown.cpp
@@ -1,4 +1,4 @@
-// Stages of a graceful shutdown.
+// Transitions between the stages of a graceful shutdown.
 #include "coordination/directory/EntryShutdown.h"
 
 namespace lavenderthread::coordination::directory {
--- a/src/coordination/directory/EntryShutdown.h
+++ b/src/coordination/directory/EntryShutdown.h
@@ -1,5 +1,5 @@
-// Graceful end of an entry: callers that hold an answer naming it are served until that answer has
-// aged out, and nothing in flight is cut.
+// Graceful shutdown of an entry node: callers that hold a directory answer with its address are
+// served until that answer expires, and no request in flight is aborted.
 #pragma once
 
 #include "state/Time.h"
@@ -10,18 +10,20 @@
 namespace lavenderthread::coordination::directory {
 
 enum class ShutdownStage : std::uint8_t {
-    Serving,   // named to callers
-    Announced, // no entry names it any more; it still accepts from holders of old answers
-    Refusing,  // new requests get "not run" and other addresses; those in flight go on
-    Finished,  // nothing in flight: release leases, say Left, exit
+    Serving,   // listed in directory answers
+    Announced, // not listed in new answers; still accepts from holders of old ones
+    Refusing,  // new requests get "not run" and other addresses; those in flight continue
+    Finished,  // nothing in flight: release leases, publish Left, exit
 };
 
+// Tracks the shutdown stage, which only moves forward.
 class EntryShutdown
 {
 public:
-    // `newsTime`: until every other entry has stopped naming this one. `timeToLive`: of answers.
-    EntryShutdown(state::Duration newsTime, state::Duration timeToLive)
-        : acceptFor(newsTime + timeToLive)
+    // `propagationTime`: until every other entry node has stopped listing this one. `timeToLive`:
+    // of directory answers.
+    EntryShutdown(state::Duration propagationTime, state::Duration timeToLive)
+        : acceptFor(propagationTime + timeToLive)
     {}
 
     void begin(state::Instant now);
@@ -29,8 +31,8 @@
     ShutdownStage stage() const { return this->current; }
 
 private:
-    // An answer made just before the news arrived is the last one that names this entry, so
-    // accepting for news time and time to live serves every holder of an answer.
+    // The last answer that lists this entry node is made just before the update arrives, so
+    // accepting for propagation time plus time to live serves every holder of an answer.
     state::Duration acceptFor;
     state::Instant beganAt;
     ShutdownStage current = ShutdownStage::Serving; // only moves forward
--- a/src/coordination/directory/LeavingPlan.cpp
+++ b/src/coordination/directory/LeavingPlan.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-// The answer to a long prompt takes half of the time: one that is taken later is cut by the end.
-constexpr int takenEighths = 3;
-constexpr int eighths = 8;
-// For the farewell, and for a process that is slow to end.
+// The answer to a long prompt takes half of the termination time. A call accepted later than this
+// share would be cut off when the process exits.
+constexpr int acceptEighths = 3;
+constexpr int eighthsPerWhole = 8;
+// Time for the deregistration and for a process that exits slowly.
 constexpr state::Duration killMargin = std::chrono::milliseconds(700);
 
 } // namespace
@@ -17,7 +18,7 @@
 LeavingPlan LeavingPlan::within(state::Duration termination)
 {
     LeavingPlan plan;
-    plan.takesCalls = termination * takenEighths / eighths;
+    plan.takesCalls = termination * acceptEighths / eighthsPerWhole;
     plan.ends = std::max(plan.takesCalls, termination - killMargin);
     return plan;
 }
--- a/src/coordination/directory/LeavingPlan.h
+++ b/src/coordination/directory/LeavingPlan.h
@@ -1,5 +1,5 @@
-// When a node that was told to stop refuses calls and when it ends, within the time after which it
-// is killed.
+// When a node that was told to stop starts to refuse calls and when it exits, within the
+// termination time after which it is killed.
 #pragma once
 
 #include "state/Time.h"
@@ -8,15 +8,17 @@
 
 namespace lavenderthread::coordination::directory {
 
-// Immutable. Both times count from the signal.
+// Immutable. Both times count from the termination signal.
 struct LeavingPlan
 {
-    // Callers keep a directory answer for some seconds and go on coming for as long.
+    // Calls are accepted for this long, since callers keep a directory answer for some seconds and
+    // continue to call meanwhile.
     state::Duration takesCalls{0};
-    state::Duration ends{0}; // what is still in flight then is cut
+    state::Duration ends{0}; // calls still in flight then are aborted
 
     auto operator<=>(const LeavingPlan &) const = default;
 
+    // `termination`: from the signal until the process is killed.
     static LeavingPlan within(state::Duration termination);
 };
 
--- a/src/coordination/directory/RelayDirectory.cpp
+++ b/src/coordination/directory/RelayDirectory.cpp
@@ -8,10 +8,10 @@
 
 using membership::MemberEntry;
 
-// With fewer the others of the failure domain would be crowded while one of them is restarted.
-constexpr std::size_t enoughNearby = 4;
+// With fewer, the remaining ones of the failure domain would be overloaded while one restarts.
+constexpr std::size_t minimumNearbyRelays = 4;
 
-bool relays(const MemberEntry &entry)
+bool isRelay(const MemberEntry &entry)
 {
     const auto &record = entry.record;
     return record.isLive() && record.description != nullptr && record.description->relay.port != 0
@@ -19,11 +19,11 @@
 }
 
 std::vector<state::Address> addressesOf(const membership::MemberTable &members,
-                                        const std::function<bool(const MemberEntry &)> &fits)
+                                        const std::function<bool(const MemberEntry &)> &accept)
 {
     std::vector<state::Address> addresses;
     for (const auto &[id, entry] : members.entries()) {
-        if (relays(entry) && fits(entry))
+        if (isRelay(entry) && accept(entry))
             addresses.push_back(entry.record.description->relay);
     }
     return addresses;
@@ -37,11 +37,11 @@
     const auto isAlive = [](const MemberEntry &entry) {
         return entry.record.health == membership::MemberHealth::Alive;
     };
-    const auto isNear = [&](const MemberEntry &entry) {
+    const auto isInDomain = [&](const MemberEntry &entry) {
         return isAlive(entry) && entry.record.description->failureDomain == callers;
     };
-    std::vector<state::Address> found = addressesOf(members, isNear);
-    if (found.size() < enoughNearby)
+    std::vector<state::Address> found = addressesOf(members, isInDomain);
+    if (found.size() < minimumNearbyRelays)
         found = addressesOf(members, isAlive);
     if (found.empty())
         found = addressesOf(members, [](const MemberEntry &) { return true; });
--- a/src/coordination/directory/RelayDirectory.h
+++ b/src/coordination/directory/RelayDirectory.h
@@ -1,4 +1,4 @@
-// Where callers of the transparent relay should connect.
+// Directory of the transparent relay: tells its callers where to connect.
 #pragma once
 
 #include "coordination/membership/MemberTable.h"
@@ -7,9 +7,9 @@
 
 namespace lavenderthread::coordination::directory {
 
-// The members that relay and are ready: those of the callers' own failure domain if they are enough
-// to bear the loss of one, else all. Suspects are named only if nobody else is left: a caller that
-// meets a dead node loses a second.
+// Returns the relay addresses of ready members: those in the callers' failure domain if there are
+// enough of them to tolerate the loss of one, otherwise all. Suspect members are returned only if
+// there are no others, because a caller that connects to a dead node loses a second.
 std::vector<state::Address> relayAddresses(const membership::MemberTable &members,
                                            const state::FailureDomain &callers);
 
--- a/src/coordination/endpoints/EndpointLife.h
+++ b/src/coordination/endpoints/EndpointLife.h
@@ -1,5 +1,6 @@
-// The life of endpoints as one entry handles it: announcements and renewals taken here, expiry,
-// leaving, drain marks, and care for endpoints whose home entry died. Makes records to publish.
+// Endpoint lifecycle on one entry node: accepts announcements, renewals and deregistrations,
+// expires endpoints, keeps their drain marks, and looks after endpoints whose home entry node died.
+// Produces the records to publish.
 #pragma once
 
 #include "coordination/endpoints/EndpointTable.h"
@@ -21,7 +22,7 @@
     FlapDampingSettings damping;
 };
 
-// What one entry knows when an event arrives.
+// State of this entry node that lifecycle decisions read.
 struct EndpointWorld
 {
     const EndpointTable &table;
@@ -29,9 +30,10 @@
     const ownership::OwnerRing &ring;
 };
 
-// Home: the entry that a record names; it alone ends the record when renewals stop. Every entry
-// that is sent announcements keeps a lease of its own, and takes the role over when the home is
-// gone. An endpoint that announces itself at two entries ends up at the one with the lower id.
+// Each record names a home entry node, which alone expires the record when renewals stop. Every
+// entry node that receives announcements keeps its own lease and takes over the home role when the
+// home is gone. If an endpoint announces itself to two entry nodes, the one with the lower id
+// becomes its home.
 class EndpointLife
 {
 public:
@@ -39,17 +41,20 @@
     static state::Result<EndpointLife> create(const EndpointLifeSettings &settings,
                                               state::VmId self, state::Instant now);
 
-    // First announcement or renewal. Gives the record to publish if something changed. Errors, step
-    // "endpoint.announce": InvalidArgument; Conflict for an incarnation that is old or has left.
+    // Handles a first announcement or a renewal. Returns the record to publish if something
+    // changed. Errors, step "endpoint.announce": InvalidArgument; Conflict for an incarnation that
+    // is old or has deregistered.
     state::Result<std::optional<EndpointRecord>>
-    announce(const state::EndpointDescription &description, const EndpointWorld &world,
+    announce(const state::EndpointDescription &description, const EndpointWorld &context,
              state::Instant now);
-    // Errors, step "endpoint.leave": NotFound; Conflict for an old incarnation.
-    state::Result<std::optional<EndpointRecord>>
-    leave(const state::EndpointId &endpoint, std::uint64_t incarnation, const EndpointWorld &world);
-    // Records to publish because of time or of news; call every second.
-    std::vector<EndpointRecord> tick(const EndpointWorld &world, state::Instant now);
-    // Whether load reports of this endpoint are taken here.
+    // Deregisters the endpoint; returns the record to publish unless it had left already. Errors,
+    // step "endpoint.leave": NotFound; Conflict if `incarnation` is not the known one.
+    state::Result<std::optional<EndpointRecord>> leave(const state::EndpointId &endpoint,
+                                                       std::uint64_t incarnation,
+                                                       const EndpointWorld &context);
+    // Returns the records to publish after time passed or records changed; call once per second.
+    std::vector<EndpointRecord> tick(const EndpointWorld &context, state::Instant now);
+    // Whether this entry node holds a lease of that incarnation and so accepts its load reports.
     bool isAnnouncedHere(const state::EndpointId &endpoint, std::uint64_t incarnation) const;
     const EndpointLifeSettings &current() const { return this->settings; }
 
@@ -58,7 +63,7 @@
     {
         state::EndpointDescription description;
         state::Instant expires;
-        state::Instant since; // of the first of an unbroken row of renewals
+        state::Instant since; // start of the current uninterrupted series of renewals
     };
 
     EndpointLife(const EndpointLifeSettings &chosen, state::VmId ownId, state::Instant now)
@@ -70,18 +75,18 @@
 
     void renew(const state::EndpointDescription &description, state::Instant now);
     EndpointPhase livePhase(const state::EndpointId &endpoint, state::Instant now);
-    bool takesOver(const EndpointRecord &known, const EndpointWorld &world,
+    bool takesOver(const EndpointRecord &known, const EndpointWorld &context,
                    state::Instant now) const;
     std::optional<EndpointRecord> reviewRenewed(const EndpointRecord &known, const Renewal &renewal,
-                                                const EndpointWorld &world, state::Instant now);
-    bool hasEnded(const EndpointRecord &known, const EndpointWorld &world,
+                                                const EndpointWorld &context, state::Instant now);
+    bool hasEnded(const EndpointRecord &known, const EndpointWorld &context,
                   state::Instant now) const;
 
     EndpointLifeSettings settings;
     state::VmId self;
     state::Instant startedAt;
     FlapDamping damping;
-    std::map<state::EndpointId, Renewal> renewals; // unexpired, of one incarnation each
+    std::map<state::EndpointId, Renewal> renewals; // unexpired, one incarnation per endpoint
 };
 
 } // namespace lavenderthread::coordination::endpoints
--- a/src/coordination/endpoints/EndpointRecord.cpp
+++ b/src/coordination/endpoints/EndpointRecord.cpp
@@ -1,4 +1,4 @@
-// Order, merge and size of endpoint records.
+// Ordering, merging and encoded size of endpoint records.
 #include "coordination/endpoints/EndpointRecord.h"
 
 #include <xxhash.h>
@@ -14,16 +14,17 @@
 constexpr std::size_t fixedRecordBytes = 44;
 constexpr std::size_t fixedDescriptionBytes = 32;
 
-// Left goes before the version. An endpoint whose acknowledgements are lost announces itself to
-// several entries; one that had not heard of the farewell could make a later version that says
-// Live, and callers were sent to the leaving endpoint until its next farewell.
-auto lifeOrder(const EndpointRecord &record)
+// Left is compared before the version. An endpoint whose acknowledgements are lost announces itself
+// to several entry nodes. One that has not yet received the deregistration can produce a later
+// version with phase Live; if that version won, callers would be sent to the leaving endpoint until
+// it deregisters again.
+auto lifecycleOrder(const EndpointRecord &record)
 {
     return std::tuple(record.incarnation, record.phase == EndpointPhase::Left, record.version,
                       record.phase, record.home);
 }
 
-void copyLife(EndpointRecord &into, const EndpointRecord &from)
+void copyLifecycle(EndpointRecord &into, const EndpointRecord &from)
 {
     into.incarnation = from.incarnation;
     into.version = from.version;
@@ -47,7 +48,7 @@
     const bool sameDescription =
             this->description == other.description
             || (this->description && other.description && *this->description == *other.description);
-    return sameDescription && this->id == other.id && lifeOrder(*this) == lifeOrder(other)
+    return sameDescription && this->id == other.id && lifecycleOrder(*this) == lifecycleOrder(other)
            && this->descriptionVersion == other.descriptionVersion && this->drain == other.drain;
 }
 
@@ -58,28 +59,28 @@
 
 bool livesLater(const EndpointRecord &next, const EndpointRecord &known)
 {
-    return lifeOrder(next) > lifeOrder(known);
+    return lifecycleOrder(next) > lifecycleOrder(known);
 }
 
-MergeResult merge(const EndpointRecord &known, const EndpointRecord &news)
+MergeResult merge(const EndpointRecord &known, const EndpointRecord &update)
 {
     MergeResult result{known};
-    const bool sameDescription = news.descriptionVersion == known.descriptionVersion;
-    const bool fits = news.description != nullptr || news.phase == EndpointPhase::Left
-                      || (news.incarnation == known.incarnation && sameDescription);
-    if (livesLater(news, known) && fits) {
+    const bool sameDescription = update.descriptionVersion == known.descriptionVersion;
+    const bool isApplicable = update.description != nullptr || update.phase == EndpointPhase::Left
+                              || (update.incarnation == known.incarnation && sameDescription);
+    if (livesLater(update, known) && isApplicable) {
         result.descriptionChanged =
-                news.description != nullptr
-                && std::tuple(news.incarnation, news.descriptionVersion)
+                update.description != nullptr
+                && std::tuple(update.incarnation, update.descriptionVersion)
                            != std::tuple(known.incarnation, known.descriptionVersion);
-        copyLife(result.record, news);
+        copyLifecycle(result.record, update);
         result.changed = true;
     }
-    if (news.drain.position > known.drain.position) {
-        result.record.drain = news.drain;
+    if (update.drain.position > known.drain.position) {
+        result.record.drain = update.drain;
         result.changed = true;
     }
-    result.newsIsOlder = livesLater(known, news) || known.drain.position > news.drain.position;
+    result.newsIsOlder = livesLater(known, update) || known.drain.position > update.drain.position;
     return result;
 }
 
--- a/src/coordination/endpoints/EndpointRecord.h
+++ b/src/coordination/endpoints/EndpointRecord.h
@@ -1,5 +1,5 @@
-// What all entries know of one endpoint. A record is merged part by part, only upward, so that news
-// may come late, doubled and crossed and every entry still ends with the same record.
+// The replicated record of one endpoint. Each part of a record is merged monotonically, so that all
+// entry nodes converge to the same record even if updates arrive late, duplicated or out of order.
 #pragma once
 
 #include "state/Endpoint.h"
@@ -11,13 +11,13 @@
 
 namespace lavenderthread::coordination::endpoints {
 
-// Ordered: of two records with equal incarnation and version the later phase wins; Left wins over
-// any version.
+// Ordered: of two records with the same incarnation and version, the later phase wins. Left wins
+// over any version of the same incarnation.
 enum class EndpointPhase : std::uint8_t {
     Live,
-    Held,    // announced, but restarted so often that it gets no work for a while
-    Expired, // its renewals stopped; a renewal of the same incarnation brings it back
-    Left,    // it said so; only a new incarnation brings it back, whatever the versions
+    Held,    // announced, but gets no work for a while because it restarts too often
+    Expired, // renewals stopped; a renewal of the same incarnation reactivates it
+    Left,    // deregistered; only a new incarnation reactivates it, whatever the versions
 };
 
 constexpr std::string_view toString(EndpointPhase phase)
@@ -35,60 +35,60 @@
     return "unknown";
 }
 
-// An operator's drain or undrain, as committed in the replicated log. Outlives the endpoint's
-// incarnation: a drained engine that is restarted stays drained until an undrain is committed.
+// An operator's drain or undrain order, as committed in the replicated log. It applies across
+// incarnations: a drained engine that restarts stays drained until an undrain is committed.
 struct DrainMark
 {
-    state::log::LogPosition position; // the order's; a higher one wins
+    state::log::LogPosition position; // log position of the order; the highest wins
     bool draining = false;
 
     auto operator<=>(const DrainMark &) const = default;
 };
 
-// Immutable. The life part (incarnation to description) is written by the endpoint's home entry,
-// or by its owner when the home is gone; the drain part follows the replicated log.
+// Immutable. The lifecycle part (all but `id` and `drain`) is written by the endpoint's home entry
+// node, or by its owner when the home is gone; the drain part follows the replicated log.
 struct EndpointRecord
 {
     state::EndpointId id;
     std::uint64_t incarnation = 0;        // 0: never announced, only a drain mark is known
-    std::uint32_t version = 0;            // grows with each change of the life part
-    std::uint32_t descriptionVersion = 0; // the version at which the description last changed
+    std::uint32_t version = 0;            // incremented with each change of the lifecycle part
+    std::uint32_t descriptionVersion = 0; // `version` when the description last changed
     EndpointPhase phase = EndpointPhase::Expired;
-    state::VmId home; // the entry that takes its renewals
+    state::VmId home; // the entry node that receives its renewals
     DrainMark drain;
-    // Null in the short form that spreads a change of phase, home or drain mark. Shared, so that
-    // every published view holds the same copy.
+    // Null in the short form, which carries only a change of phase, home or drain mark. Shared, so
+    // that all published views hold the same copy.
     std::shared_ptr<const state::EndpointDescription> description;
 
     bool isUsable() const;                         // may get new work
     bool operator==(const EndpointRecord &) const; // descriptions by value
 };
 
-// Whether the record tells that the endpoint gets no more work from now on, as it or an operator
-// has said.
+// Whether the endpoint gets no new work because it deregistered or an operator drained it.
 bool endsWork(const EndpointRecord &record);
 
-// Whether the life part of `next` is newer than that of `known`.
+// Whether the lifecycle part of `next` is newer than that of `known`.
 bool livesLater(const EndpointRecord &next, const EndpointRecord &known);
 
 struct MergeResult
 {
     EndpointRecord record;
     bool changed = false;
-    bool newsIsOlder = false; // the sender should learn of `known`
+    bool newsIsOlder = false; // the sender should be sent `known`
     bool descriptionChanged = false;
 };
 
-// `news` in its short form is applied only on top of the description that it was made from; else
-// an entry could keep the newest version with an outdated list of models for good. Left is applied
-// on any, also on that of an earlier life: nobody reads the description of what has left, and the
-// announcement of that life may still be on its way.
-MergeResult merge(const EndpointRecord &known, const EndpointRecord &news);
+// A short-form `update` is applied only to the description version that it was made from; otherwise
+// an entry node could keep the newest version with an outdated list of models forever. Left is
+// applied to any description, also to that of an earlier incarnation: the description of an
+// endpoint that left is never read, and the announcement of that incarnation may still be in
+// transit.
+MergeResult merge(const EndpointRecord &known, const EndpointRecord &update);
 
-// Covers everything but the description's text, which its version stands for.
+// Hash of the record. The description is covered by its version instead of its content.
 std::uint64_t fingerprint(const EndpointRecord &record);
 
-// Upper bound of the encoded size.
+// Upper bound of the encoded size, in bytes.
 std::size_t wireBytes(const EndpointRecord &record);
 
 } // namespace lavenderthread::coordination::endpoints
--- a/src/coordination/endpoints/EndpointTable.cpp
+++ b/src/coordination/endpoints/EndpointTable.cpp
@@ -1,4 +1,4 @@
-// Applies endpoint news upward and forgets what ended long ago.
+// Merges endpoint updates and forgets endpoints that left or expired long ago.
 #include "coordination/endpoints/EndpointTable.h"
 
 #include <xxhash.h>
@@ -20,25 +20,27 @@
     return XXH64(id.value().data(), id.value().size(), endpointSeed);
 }
 
-MergeResult EndpointTable::apply(const EndpointRecord &news, state::Instant now)
+MergeResult EndpointTable::apply(const EndpointRecord &update, state::Instant now)
 {
-    const auto found = this->records.find(news.id);
+    const auto found = this->records.find(update.id);
     if (found == this->records.end()) {
-        const bool isMark = news.drain.position != state::log::LogPosition{};
-        const bool begins = news.description != nullptr && (!hasEnded(news) || news.drain.draining);
-        // A farewell may come before the announcement. Not kept, it was not passed on either, and
-        // the late announcement put an endpoint into use that had left.
-        const bool isFarewell = news.phase == EndpointPhase::Left;
-        if (!begins && !isMark && !isFarewell)
-            return MergeResult{news};
-        EndpointRecord first = news;
-        if (!first.description && !isFarewell)
-            first = EndpointRecord{news.id, 0, 0, 0, EndpointPhase::Expired, {}, news.drain, {}};
-        this->records.emplace(news.id, EndpointEntry{first, endpointKey(news.id),
-                                                     endpoints::fingerprint(first), now});
+        const bool hasDrainMark = update.drain.position != state::log::LogPosition{};
+        const bool isAnnouncement =
+                update.description != nullptr && (!hasEnded(update) || update.drain.draining);
+        // A deregistration may arrive before the announcement. It must be kept, and thereby passed
+        // on, or the late announcement would put an endpoint into use that has left.
+        const bool isDeregistration = update.phase == EndpointPhase::Left;
+        if (!isAnnouncement && !hasDrainMark && !isDeregistration)
+            return MergeResult{update};
+        EndpointRecord first = update;
+        if (!first.description && !isDeregistration)
+            first = EndpointRecord{update.id,    0, 0, 0, EndpointPhase::Expired, {},
+                                   update.drain, {}};
+        this->records.emplace(update.id, EndpointEntry{first, endpointKey(update.id),
+                                                       endpoints::fingerprint(first), now});
         return MergeResult{first, true, false, first.description != nullptr};
     }
-    MergeResult merged = merge(found->second.record, news);
+    MergeResult merged = merge(found->second.record, update);
     if (merged.changed) {
         found->second.record = merged.record;
         found->second.fingerprint = endpoints::fingerprint(merged.record);
@@ -47,13 +49,13 @@
     return merged;
 }
 
-bool EndpointTable::forget(state::Instant now, state::Duration kept)
+bool EndpointTable::forget(state::Instant now, state::Duration retention)
 {
     return std::erase_if(this->records,
                          [&](const auto &item) {
                              const EndpointRecord &record = item.second.record;
                              return hasEnded(record) && !record.drain.draining
-                                    && now - item.second.changedAt > kept;
+                                    && now - item.second.changedAt > retention;
                          })
            > 0;
 }
--- a/src/coordination/endpoints/EndpointTable.h
+++ b/src/coordination/endpoints/EndpointTable.h
@@ -1,4 +1,5 @@
-// All endpoint records that one entry knows, ended ones included until they are forgotten.
+// All endpoint records that one entry node knows. Records of endpoints that left or expired are
+// kept until forget() drops them.
 #pragma once
 
 #include "coordination/endpoints/EndpointRecord.h"
@@ -11,8 +12,8 @@
 struct EndpointEntry
 {
     EndpointRecord record;
-    std::uint64_t key = 0;         // names the record in the full-state exchange
-    std::uint64_t fingerprint = 0; // of the record, kept so that digests need no hashing
+    std::uint64_t key = 0;         // identifies the record in the full-state exchange
+    std::uint64_t fingerprint = 0; // of `record`; cached so that digests need no hashing
     state::Instant changedAt;
 };
 
@@ -21,11 +22,13 @@
 class EndpointTable
 {
 public:
-    // Records that only tell of an end which this entry never saw begin are not taken in: they
-    // would travel between entries for good, each forgetting them at another time.
-    MergeResult apply(const EndpointRecord &news, state::Instant now);
-    // Drops records that ended longer than `kept` ago and carry no drain mark in force.
-    bool forget(state::Instant now, state::Duration kept);
+    // Merges `update` into the table. For an unknown endpoint, an expired record and a short form
+    // are ignored unless they are a deregistration or carry a drain mark: entry nodes forget ended
+    // records at different times and would send them to each other forever.
+    MergeResult apply(const EndpointRecord &update, state::Instant now);
+    // Drops records that have been Left or Expired for longer than `retention` and are not drained.
+    // Returns whether any was dropped.
+    bool forget(state::Instant now, state::Duration retention);
 
     const EndpointEntry *find(const state::EndpointId &id) const;
     const std::map<state::EndpointId, EndpointEntry> &entries() const { return this->records; }
--- a/src/coordination/endpoints/FlapDamping.cpp
+++ b/src/coordination/endpoints/FlapDamping.cpp
@@ -1,4 +1,4 @@
-// Penalty with exponential decay and two thresholds.
+// Restart penalty with exponential decay and two thresholds.
 #include "coordination/endpoints/FlapDamping.h"
 
 #include <cmath>
@@ -31,9 +31,9 @@
 
 void FlapDamping::forgetCalm(state::Instant now)
 {
-    constexpr int calmHalfLives = 10;
+    constexpr int stableHalfLives = 10;
     std::erase_if(this->penalties, [&](const auto &item) {
-        return now - item.second.updatedAt > this->settings.halfLife * calmHalfLives;
+        return now - item.second.updatedAt > this->settings.halfLife * stableHalfLives;
     });
 }
 
--- a/src/coordination/endpoints/FlapDamping.h
+++ b/src/coordination/endpoints/FlapDamping.h
@@ -1,5 +1,5 @@
-// Counts how often an endpoint restarted of late, so that one that crashes again and again gets no
-// work and fills no datagrams meanwhile.
+// Flap damping: counts recent restarts per endpoint, so that an endpoint in a crash loop gets no
+// work and its updates do not fill the gossip datagrams.
 #pragma once
 
 #include "state/Ids.h"
@@ -12,11 +12,13 @@
 
 struct FlapDampingSettings
 {
-    double holdAt = 4;    // restarts, weighed by age
-    double releaseAt = 2; // below holdAt, so that the decision itself doesn't flap
+    double holdAt = 4;    // restarts, each weighted by its age
+    double releaseAt = 2; // below holdThreshold: hysteresis, so that the decision does not flap
     state::Duration halfLife = std::chrono::seconds(60);
 };
 
+// Holds an endpoint once its decayed restart count reaches holdThreshold, and releases it when the
+// count falls below releaseThreshold.
 class FlapDamping
 {
 public:
@@ -24,16 +26,17 @@
         : settings(chosen)
     {}
 
-    // Call for every record seen; a higher incarnation than before counts as a restart.
+    // Call for every record seen. An incarnation above the last one seen counts as a restart.
     void observe(const state::EndpointId &endpoint, std::uint64_t incarnation, state::Instant now);
     bool isHeld(const state::EndpointId &endpoint, state::Instant now);
+    // Drops endpoints whose last restart is many half-lives ago.
     void forgetCalm(state::Instant now);
 
 private:
     struct Penalty
     {
         std::uint64_t incarnation = 0;
-        double restarts = 0; // as of `updatedAt`
+        double restarts = 0; // decayed count as of `updatedAt`
         state::Instant updatedAt;
         bool held = false;
     };
--- a/src/coordination/endpoints/MemoryAudit.cpp
+++ b/src/coordination/endpoints/MemoryAudit.cpp
@@ -1,4 +1,4 @@
-// Compares what engines hold with the leases of live holders.
+// Compares the memory that engines hold with the leases of live holders.
 #include "coordination/endpoints/MemoryAudit.h"
 
 #include <charconv>
@@ -6,9 +6,9 @@
 
 namespace lavenderthread::coordination::endpoints {
 
-std::string makeLeaseName(const LeaseHolder &maker, std::uint64_t serial)
+std::string makeLeaseName(const LeaseHolder &creator, std::uint64_t serial)
 {
-    return maker.vm.value() + "." + std::to_string(maker.incarnation) + "."
+    return creator.vm.value() + "." + std::to_string(creator.incarnation) + "."
            + std::to_string(serial);
 }
 
@@ -22,11 +22,11 @@
         return std::nullopt;
     const char *begin = leaseName.data() + incarnationDot + 1;
     const char *end = leaseName.data() + serialDot;
-    LeaseHolder maker{state::VmId(std::string(leaseName.substr(0, incarnationDot))), 0};
-    const auto [stop, problem] = std::from_chars(begin, end, maker.incarnation);
+    LeaseHolder creator{state::VmId(std::string(leaseName.substr(0, incarnationDot))), 0};
+    const auto [stop, problem] = std::from_chars(begin, end, creator.incarnation);
     if (problem != std::errc() || stop != end)
         return std::nullopt;
-    return maker;
+    return creator;
 }
 
 void MemoryAudit::gained(const state::EndpointId &endpoint)
@@ -45,9 +45,9 @@
     if (owned == this->ownedEndpoints.end())
         return state::makeError(state::ErrorCode::NotFound, "lease.grant",
                                 "this entry does not own the endpoint", endpoint.value());
-    const auto doubt = owned->second.doubts.find(lease.name);
-    // An adopter that came too late must not be told yes: the free is on its way to the engine.
-    if (doubt != owned->second.doubts.end() && doubt->second.freedAt)
+    const auto candidate = owned->second.doubts.find(lease.name);
+    // An adoption that comes too late must be refused: the free order is on its way to the engine.
+    if (candidate != owned->second.doubts.end() && candidate->second.freedAt)
         return state::makeError(state::ErrorCode::Conflict, "lease.grant",
                                 "the lease is being freed", endpoint.value());
     owned->second.leases.insert_or_assign(lease.name, lease);
@@ -89,19 +89,20 @@
     std::set<std::string> listed;
     for (const HeldItem &item : items) {
         listed.insert(item.lease);
-        const Standing standing = this->standingOf(owned, item, members, now);
-        if (standing == Standing::Covered) {
+        const Standing status = this->standingOf(owned, item, members, now);
+        if (status == Standing::Covered) {
             owned.doubts.erase(item.lease);
             continue;
         }
-        Doubt &doubt = owned.doubts[item.lease];
-        if (!doubt.since || isolated)
-            doubt.since = now;
+        Doubt &candidate = owned.doubts[item.lease];
+        if (!candidate.since || isolated)
+            candidate.since = now;
         if (!isolated)
-            this->judge(endpoint, item, standing, owned, actions, now);
+            this->judge(endpoint, item, status, owned, actions, now);
     }
-    std::erase_if(owned.doubts, [&](const auto &doubt) { return !listed.contains(doubt.first); });
-    // A lease that lapsed and that the engine no longer lists has done its work.
+    std::erase_if(owned.doubts,
+                  [&](const auto &candidate) { return !listed.contains(candidate.first); });
+    // A lapsed lease that the engine no longer lists covers no memory.
     std::erase_if(owned.leases, [&](const auto &lease) {
         return now >= lease.second.expires && !listed.contains(lease.first);
     });
@@ -135,8 +136,9 @@
             return Standing::HolderGone;
         return now < lease->second.expires ? Standing::Covered : Standing::Lapsed;
     }
-    const std::optional<LeaseHolder> maker = makerOf(item.lease);
-    return maker && isLiveHolder(*maker, members) ? Standing::HolderLives : Standing::HolderGone;
+    const std::optional<LeaseHolder> creator = makerOf(item.lease);
+    return creator && isLiveHolder(*creator, members) ? Standing::HolderLives
+                                                      : Standing::HolderGone;
 }
 
 bool MemoryAudit::isLiveHolder(const LeaseHolder &holder, const membership::MemberTable &members)
@@ -144,41 +146,41 @@
     const membership::MemberEntry *entry = members.find(holder.vm);
     if (entry == nullptr)
         return false;
-    // A higher incarnation than the one known has started, and its news is on the way.
+    // An incarnation above the known one has started; its membership update is still in transit.
     return holder.incarnation > entry->record.incarnation
            || (holder.incarnation == entry->record.incarnation && entry->record.isLive());
 }
 
-void MemoryAudit::judge(const state::EndpointId &endpoint, const HeldItem &item, Standing standing,
+void MemoryAudit::judge(const state::EndpointId &endpoint, const HeldItem &item, Standing status,
                         Owned &owned, AuditActions &actions, state::Instant now) const
 {
-    Doubt &doubt = owned.doubts.at(item.lease);
+    Doubt &candidate = owned.doubts.at(item.lease);
     const auto isDue = [&](const std::optional<state::Instant> &last, state::Duration interval) {
         return !last || now - *last >= interval;
     };
-    const state::Duration age = now - *doubt.since;
-    const bool waited = age >= this->settings.orphanGrace;
+    const state::Duration age = now - *candidate.since;
+    const bool graceElapsed = age >= this->settings.orphanGrace;
     const auto lease = owned.leases.find(item.lease);
     const std::optional<LeaseHolder> holder =
             lease != owned.leases.end() ? lease->second.holder : makerOf(item.lease);
-    const bool isDenied = doubt.deniedBy && doubt.deniedBy == holder;
-    // A live holder that the item names is believed to use it until it denies that: its renewals
-    // may go to another entry that it takes for the owner. Silence frees nothing.
-    const bool mayFree = waited && (standing != Standing::HolderLives || isDenied);
+    const bool isDenied = candidate.deniedBy && candidate.deniedBy == holder;
+    // The live holder named by the item is assumed to use it until it denies that: its renewals may
+    // go to another entry node that it takes for the owner. A missing answer frees nothing.
+    const bool mayFree = graceElapsed && (status != Standing::HolderLives || isDenied);
     if (mayFree) {
-        if (isDue(doubt.freedAt, this->settings.freeAgainAfter)) {
-            doubt.freedAt = now;
+        if (isDue(candidate.freedAt, this->settings.freeAgainAfter)) {
+            candidate.freedAt = now;
             actions.frees.push_back({endpoint, item});
             owned.leases.erase(item.lease);
         }
         return;
     }
     if (!isDenied && age >= this->settings.askAfter
-        && isDue(doubt.askedAt, this->settings.askAgainAfter)) {
-        doubt.askedAt = now;
-        const bool askOne = standing != Standing::HolderGone && holder;
+        && isDue(candidate.askedAt, this->settings.askAgainAfter)) {
+        candidate.askedAt = now;
+        const bool queryHolderOnly = status != Standing::HolderGone && holder;
         actions.questions.push_back(
-                {endpoint, item.lease, askOne ? std::optional(holder->vm) : std::nullopt});
+                {endpoint, item.lease, queryHolderOnly ? std::optional(holder->vm) : std::nullopt});
     }
 }
 
--- a/src/coordination/endpoints/MemoryAudit.h
+++ b/src/coordination/endpoints/MemoryAudit.h
@@ -1,5 +1,5 @@
-// Memory audit of the engines that this entry owns. Every reservation, export and stream that an
-// engine holds must belong to a lease with a live holder; what belongs to none is freed.
+// Memory audit of the engines that this entry node owns. Every reservation, export and stream that
+// an engine holds must belong to a lease with a live holder; memory without one is freed.
 #pragma once
 
 #include "coordination/membership/MemberTable.h"
@@ -15,7 +15,7 @@
 
 enum class HeldKind : std::uint8_t { Stream, Reservation, Export };
 
-// As the engine lists it.
+// One item of held memory, as the engine lists it.
 struct HeldItem
 {
     std::string lease;
@@ -25,7 +25,7 @@
     bool operator==(const HeldItem &) const = default;
 };
 
-// The entry process that uses the memory.
+// The entry node process that uses the memory.
 struct LeaseHolder
 {
     state::VmId vm;
@@ -39,23 +39,26 @@
     std::string name;
     LeaseHolder holder;
     std::uint64_t tokens = 0;
-    state::Instant expires; // the holder stops using it before, by a margin for clock drift
+    state::Instant expires; // the holder stops using it earlier, by a margin for clock drift
 
     bool operator==(const MemoryLease &) const = default;
 };
 
-// A lease's name tells who made it, so that an owner that lost all its leases, or never had them,
-// still knows whom to ask. Only characters that the endpoint contract allows.
-std::string makeLeaseName(const LeaseHolder &maker, std::uint64_t serial);
+// A lease name contains the identity of its creator, so that an owner that lost its leases or never
+// had them still knows which holder to query. It uses only characters that the endpoint contract
+// allows.
+std::string makeLeaseName(const LeaseHolder &creator, std::uint64_t serial);
+// Parses the creator out of a lease name; empty if the name has another format.
 std::optional<LeaseHolder> makerOf(std::string_view leaseName);
 
 struct MemoryAuditSettings
 {
-    // From the first sight of a lease without a live holder until it is freed. Above the time for
-    // which a silently isolated entry still admits, and above two renewals of a lease.
+    // Time from the first sight of a lease without a live holder until its memory is freed. Longer
+    // than the time for which an entry node that has not noticed its isolation still admits
+    // requests, and longer than two renewal intervals of a lease.
     state::Duration orphanGrace = std::chrono::seconds(12);
-    // Short streams end before; only what stays is asked about. The rest of the grace is left for
-    // the answer.
+    // Delay before the first query, so that short streams end without one. The rest of orphanGrace
+    // is left for the answer.
     state::Duration askAfter = std::chrono::seconds(4);
     state::Duration askAgainAfter = std::chrono::seconds(5);
     state::Duration freeAgainAfter = std::chrono::seconds(2);
@@ -69,12 +72,12 @@
     bool operator==(const AuditFree &) const = default;
 };
 
-// "Do you hold this lease?" Answered by grant() or denied().
+// Query whether an entry node holds this lease. The answer is passed to grant() or holderDenied().
 struct AuditQuestion
 {
     state::EndpointId endpoint;
     std::string lease;
-    std::optional<state::VmId> holder; // empty: ask every live entry, any may have adopted it
+    std::optional<state::VmId> holder; // empty: query all live entry nodes; any may have adopted it
 
     bool operator==(const AuditQuestion &) const = default;
 };
@@ -85,6 +88,8 @@
     std::vector<AuditQuestion> questions;
 };
 
+// Tracks the leases and the unleased memory of each owned endpoint, and decides what to query and
+// what to free.
 class MemoryAudit
 {
 public:
@@ -92,21 +97,21 @@
         : settings(chosen)
     {}
 
-    // Ownership came or went. A new owner starts with no leases; the graces count from here.
+    // Ownership was gained or lost. A new owner starts without leases; grace periods start anew.
     void gained(const state::EndpointId &endpoint);
     void lost(const state::EndpointId &endpoint);
 
-    // New lease, renewal, or adoption by another holder. Errors, step "lease.grant": NotFound if
-    // the endpoint isn't owned here; Conflict if the lease is being freed.
+    // Records a new lease, a renewal, or an adoption by another holder. Errors, step "lease.grant":
+    // NotFound if the endpoint is not owned here; Conflict if the lease is being freed.
     state::Result<void> grant(const state::EndpointId &endpoint, const MemoryLease &lease);
-    // The holder is done with it; the engine should free it soon by itself.
+    // The holder no longer uses the lease; the engine should soon free the memory by itself.
     void release(const state::EndpointId &endpoint, const std::string &lease);
-    // `holder` answered that it doesn't hold the lease.
+    // `holder` answered that it does not hold the lease.
     void denied(const state::EndpointId &endpoint, const std::string &lease,
                 const LeaseHolder &holder);
 
-    // The engine's list of held memory. `isolated`: this entry hears no other now; then it can't
-    // hear of holders either and frees nothing.
+    // Audits the engine's list of held memory and returns what to free and query. `isolated`: this
+    // entry node currently hears no other one, so it cannot hear from holders and frees nothing.
     AuditActions held(const state::EndpointId &endpoint, const std::vector<HeldItem> &items,
                       const membership::MemberTable &members, bool isolated, state::Instant now);
 
@@ -116,28 +121,29 @@
 private:
     struct Doubt
     {
-        std::optional<state::Instant> since; // first listed without a live lease
-        std::optional<state::Instant> askedAt;
-        std::optional<state::Instant> freedAt; // when the free was last ordered
+        // First listed without a live lease, or last seen while isolated; empty: not listed yet.
+        std::optional<state::Instant> since;
+        std::optional<state::Instant> askedAt; // last query; empty: none
+        std::optional<state::Instant> freedAt; // last free order to the engine
         std::optional<LeaseHolder> deniedBy;
     };
     struct Owned
     {
         std::map<std::string, MemoryLease> leases;
-        std::map<std::string, Doubt> doubts; // held items without a live lease
+        std::map<std::string, Doubt> doubts; // by lease name; held items without a live lease
     };
-    // Why an item is not covered, which decides when it may be freed.
+    // Whether a live lease covers an item and, if not, why; this decides when it may be freed.
     enum class Standing : std::uint8_t {
         Covered,     // leased by a live holder
-        HolderGone,  // dead, left, or restarted: nobody can use it but by adoption
-        HolderLives, // named by the item; silent about it so far
-        Lapsed,      // leased, not renewed; its live holder had to stop
+        HolderGone,  // dead, left or restarted; usable only after adoption
+        HolderLives, // no lease yet, but the holder that its name contains is alive
+        Lapsed,      // lease not renewed in time; its live holder had to stop using it
     };
 
     Standing standingOf(const Owned &owned, const HeldItem &item,
                         const membership::MemberTable &members, state::Instant now) const;
     static bool isLiveHolder(const LeaseHolder &holder, const membership::MemberTable &members);
-    void judge(const state::EndpointId &endpoint, const HeldItem &item, Standing standing,
+    void judge(const state::EndpointId &endpoint, const HeldItem &item, Standing status,
                Owned &owned, AuditActions &actions, state::Instant now) const;
 
     MemoryAuditSettings settings;
--- a/src/coordination/ownership/OwnedEndpoints.cpp
+++ b/src/coordination/ownership/OwnedEndpoints.cpp
@@ -1,4 +1,4 @@
-// Compares the owner ring with what this entry owned before.
+// Compares the owner ring with the endpoints that this entry node owned before.
 #include "coordination/ownership/OwnedEndpoints.h"
 
 namespace lavenderthread::coordination::ownership {
--- a/src/coordination/ownership/OwnedEndpoints.h
+++ b/src/coordination/ownership/OwnedEndpoints.h
@@ -1,4 +1,4 @@
-// Hand-over of endpoints between owners, seen from one entry.
+// Tracks which endpoints this entry node owns as ownership moves between entry nodes.
 #pragma once
 
 #include "coordination/endpoints/EndpointTable.h"
@@ -15,24 +15,26 @@
     std::vector<state::EndpointId> lost;
 };
 
-// Rules of a hand-over. The old owner stops at once when it sees that it lost an endpoint; it hands
-// nothing over, since it may be dead. The new owner starts without leases and learns them from
-// their holders' renewals, so it may not judge anything orphaned before `settleTime` has passed.
+// When ownership moves, the old owner stops as soon as it sees that it lost the endpoint. It
+// transfers no state, since it may be dead. The new owner starts without leases and learns them
+// from their holders' renewals, so it must not treat memory as orphaned before `settleTime` has
+// passed.
 class OwnedEndpoints
 {
 public:
-    explicit OwnedEndpoints(state::Duration settle)
-        : settleTime(settle)
+    explicit OwnedEndpoints(state::Duration settleDuration)
+        : settleTime(settleDuration)
     {}
 
+    // Recomputes the owned endpoints and returns the difference to the last call.
     OwnershipChange update(const state::VmId &self, const OwnerRing &ring,
                            const endpoints::EndpointTable &table, state::Instant now);
     bool owns(const state::EndpointId &endpoint) const { return this->since.contains(endpoint); }
-    // Owned for long enough that every live holder has renewed here.
+    // Whether the endpoint has been owned for long enough that every live holder has renewed here.
     bool isSettled(const state::EndpointId &endpoint, state::Instant now) const;
 
 private:
-    state::Duration settleTime; // above two renewal intervals of the holders
+    state::Duration settleTime; // longer than two renewal intervals of the holders
     std::map<state::EndpointId, state::Instant> since;
 };
 
--- a/src/coordination/ownership/OwnerRing.cpp
+++ b/src/coordination/ownership/OwnerRing.cpp
@@ -1,4 +1,4 @@
-// Weights and picks of rendezvous hashing.
+// Rendezvous hashing: weights and selection of members.
 #include "coordination/ownership/OwnerRing.h"
 
 #include <xxhash.h>
@@ -9,11 +9,12 @@
 
 namespace {
 
-// Two uses of one name must not go to the same member by construction.
-constexpr std::uint64_t endpointUse = 0x65;
-constexpr std::uint64_t accountUse = 0x61;
+// Mixed into the key hash, so that an endpoint and an account of the same name are not always
+// assigned to the same member.
+constexpr std::uint64_t endpointSalt = 0x65;
+constexpr std::uint64_t accountSalt = 0x61;
 
-state::VmId highest(const std::vector<RankedMember> &members, std::uint64_t keyHash)
+state::VmId highestWeighted(const std::vector<RankedMember> &members, std::uint64_t keyHash)
 {
     const RankedMember *best = nullptr;
     std::uint64_t bestWeight = 0;
@@ -48,19 +49,19 @@
 state::VmId OwnerRing::endpointOwner(const state::EndpointId &endpoint,
                                      const state::FailureDomain &failureDomain) const
 {
-    const std::uint64_t key = rendezvousHash(endpoint.value()) ^ endpointUse;
+    const std::uint64_t key = rendezvousHash(endpoint.value()) ^ endpointSalt;
     const auto region = this->regionOf.find(failureDomain);
     if (region != this->regionOf.end()) {
         const auto members = this->byRegion.find(region->second);
         if (members != this->byRegion.end())
-            return highest(members->second, key);
+            return highestWeighted(members->second, key);
     }
-    return highest(this->all, key);
+    return highestWeighted(this->all, key);
 }
 
 state::VmId OwnerRing::quotaBroker(const state::ClientAccountId &account) const
 {
-    return highest(this->all, rendezvousHash(account.value()) ^ accountUse);
+    return highestWeighted(this->all, rendezvousHash(account.value()) ^ accountSalt);
 }
 
 std::vector<state::VmId> OwnerRing::watchersOf(const state::VmId &home, std::size_t replicas) const
@@ -69,12 +70,12 @@
     if (members < 2 || replicas == 0)
         return {};
     const RankedMember own{rendezvousHash(home.value()), home};
-    const auto place = std::lower_bound(this->all.begin(), this->all.end(), own);
-    const auto position = static_cast<std::size_t>(place - this->all.begin());
-    const std::size_t wanted = (watchedReplicas * members + replicas - 1) / replicas;
-    const std::size_t count = std::min(std::max<std::size_t>(wanted, 1), members - 1);
-    // Doubled distances first: with equal neighbours, entries side by side on the ring would all
-    // send their work to the same few replicas.
+    const auto lower = std::lower_bound(this->all.begin(), this->all.end(), own);
+    const auto position = static_cast<std::size_t>(lower - this->all.begin());
+    const std::size_t desired = (watchedReplicas * members + replicas - 1) / replicas;
+    const std::size_t count = std::min(std::max<std::size_t>(desired, 1), members - 1);
+    // Powers of two come first: if all watchers were direct neighbours, adjacent entry nodes on the
+    // ring would all send their work to the same few replicas.
     std::vector<std::size_t> distances;
     for (std::size_t distance = 1; distance < members; distance *= 2)
         distances.push_back(distance);
@@ -106,18 +107,18 @@
                                      std::string_view key, std::size_t count)
 {
     const std::uint64_t keyHash = rendezvousHash(key);
-    std::vector<std::pair<std::uint64_t, state::VmId>> weighed;
-    weighed.reserve(candidates.size());
+    std::vector<std::pair<std::uint64_t, state::VmId>> weighted;
+    weighted.reserve(candidates.size());
     for (const state::VmId &candidate : candidates)
-        weighed.emplace_back(rendezvousWeight(rendezvousHash(candidate.value()), keyHash),
-                             candidate);
-    const std::size_t taken = std::min(count, weighed.size());
-    std::partial_sort(weighed.begin(), weighed.begin() + static_cast<std::ptrdiff_t>(taken),
-                      weighed.end(), std::greater<>());
+        weighted.emplace_back(rendezvousWeight(rendezvousHash(candidate.value()), keyHash),
+                              candidate);
+    const std::size_t pickCount = std::min(count, weighted.size());
+    std::partial_sort(weighted.begin(), weighted.begin() + static_cast<std::ptrdiff_t>(pickCount),
+                      weighted.end(), std::greater<>());
     std::vector<state::VmId> picked;
-    picked.reserve(taken);
-    for (std::size_t index = 0; index < taken; ++index)
-        picked.push_back(weighed[index].second);
+    picked.reserve(pickCount);
+    for (std::size_t index = 0; index < pickCount; ++index)
+        picked.push_back(weighted[index].second);
     return picked;
 }
 
--- a/tests/coordination/directory/DirectoryTest.cpp
+++ b/tests/coordination/directory/DirectoryTest.cpp
@@ -1,4 +1,5 @@
-// Who is named to callers, in what order, and how an entry ends without cutting anybody.
+// Which entry nodes callers are told to use, in what order, and how an entry node shuts down
+// without aborting requests.
 #include "coordination/directory/Directory.h"
 #include "coordination/directory/EntryShutdown.h"
 
@@ -50,12 +51,12 @@
     return members;
 }
 
-Directory made()
+Directory defaultDirectory()
 {
     return Directory::create({}).value();
 }
 
-std::set<std::string> named(const DirectoryAnswer &answer)
+std::set<std::string> listedIps(const DirectoryAnswer &answer)
 {
     std::set<std::string> ips;
     for (const state::Address &address : answer.addresses)
@@ -73,18 +74,19 @@
 class DirectoryTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(DirectoryTest);
-    CPPUNIT_TEST(unfitMembersAreNeverNamed);
-    CPPUNIT_TEST(accountsAreSteeredToFewEntries);
-    CPPUNIT_TEST(callersInterestDecidesTheOrder);
+    CPPUNIT_TEST(ineligibleMembersAreNeverListed);
+    CPPUNIT_TEST(accountsAreAssignedToFewEntries);
+    CPPUNIT_TEST(addressesAreOrderedByCost);
     CPPUNIT_TEST(shutdownServesHoldersOfOldAnswers);
     CPPUNIT_TEST(settingsOutOfRangeAreRefused);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void unfitMembersAreNeverNamed()
+    void ineligibleMembersAreNeverListed()
     {
-        // A caller keeps the answer for a while and connects there itself. An entry in it that is
-        // leaving, unready or behind with the table would refuse it or admit it by old limits.
+        // A caller keeps the answer until its time to live ends and connects directly. An entry
+        // node in it that is leaving, not ready or behind with the table would refuse the caller or
+        // admit it under old limits.
         const std::vector<std::pair<const char *, std::function<void(membership::MemberRecord &)>>>
                 faults{{"joining", [](auto &record) { record.phase = MemberPhase::Joining; }},
                        {"leaving", [](auto &record) { record.phase = MemberPhase::Leaving; }},
@@ -93,32 +95,33 @@
                        {"dead", [](auto &record) { record.health = MemberHealth::Dead; }}};
         for (const auto &[name, fault] : faults) {
             membership::MemberTable members = tableOf(6);
-            membership::MemberRecord worse = member(2);
-            ++worse.version;
-            fault(worse);
-            members.apply(worse, now);
-            const auto ips = named(made().answer(wholeFleet(), members));
+            membership::MemberRecord changed = member(2);
+            ++changed.version;
+            fault(changed);
+            members.apply(changed, now);
+            const auto ips = listedIps(defaultDirectory().answer(wholeFleet(), members));
             CPPUNIT_ASSERT_EQUAL_MESSAGE(name, std::size_t(5), ips.size());
             CPPUNIT_ASSERT_MESSAGE(name, !ips.contains("10.0.0.3"));
         }
         membership::MemberTable members = tableOf(6);
         setStatus(members, 4, 4, 0, 2);
-        CPPUNIT_ASSERT(!named(made().answer(wholeFleet(), members)).contains("10.0.0.5"));
+        CPPUNIT_ASSERT(
+                !listedIps(defaultDirectory().answer(wholeFleet(), members)).contains("10.0.0.5"));
         DirectoryRequest strict = wholeFleet();
         strict.requiredTableVersion = 6;
-        CPPUNIT_ASSERT(made().answer(strict, members).addresses.empty());
+        CPPUNIT_ASSERT(defaultDirectory().answer(strict, members).addresses.empty());
     }
 
-    void accountsAreSteeredToFewEntries()
+    void accountsAreAssignedToFewEntries()
     {
-        // An account's limit is shared by the entries that serve it, so these must be few, keep
-        // over time, and not all stand in one failure domain.
+        // An account's limit is divided among the entry nodes that serve it, so these must be few,
+        // stay the same over time, and not all be in one failure domain.
         const membership::MemberTable all = tableOf(18);
         std::set<std::string> first;
         for (int account = 0; account < 50; ++account) {
             DirectoryRequest request{
                     state::ClientAccountId("account-" + std::to_string(account)), 20, {}, 0, 5};
-            const auto before = named(made().answer(request, all));
+            const auto before = listedIps(defaultDirectory().answer(request, all));
             CPPUNIT_ASSERT_EQUAL(std::size_t(3), before.size());
             std::set<int> domains;
             for (const std::string &ip : before)
@@ -127,50 +130,53 @@
             first.insert(*before.begin());
 
             membership::MemberTable fewer = all;
-            const int gone = std::stoi(before.begin()->substr(7)) - 1;
-            membership::MemberRecord leaving = member(gone);
+            const int leavingIndex = std::stoi(before.begin()->substr(7)) - 1;
+            membership::MemberRecord leaving = member(leavingIndex);
             leaving.phase = MemberPhase::Leaving;
             ++leaving.version;
             fewer.apply(leaving, now);
-            const auto after = named(made().answer(request, fewer));
+            const auto after = listedIps(defaultDirectory().answer(request, fewer));
             CPPUNIT_ASSERT_EQUAL(std::size_t(3), after.size());
             CPPUNIT_ASSERT(!after.contains(*before.begin()));
             const auto kept = std::count_if(after.begin(), after.end(),
                                             [&](const auto &ip) { return before.contains(ip); });
-            CPPUNIT_ASSERT(kept >= 1); // the move to another failure domain may take a second one
+            CPPUNIT_ASSERT(kept >= 1); // the spread over failure domains may replace a second one
         }
         CPPUNIT_ASSERT(first.size() > 6);
         CPPUNIT_ASSERT_EQUAL(
                 std::size_t(14),
-                named(made().answer({state::ClientAccountId("large"), 500, {}, 0, 5}, all)).size());
+                listedIps(defaultDirectory().answer(
+                                  {state::ClientAccountId("large"), 500, {}, 0, 5}, all))
+                        .size());
     }
 
-    void callersInterestDecidesTheOrder()
+    void addressesAreOrderedByCost()
     {
         membership::MemberTable members = tableOf(3);
         DirectoryRequest request = wholeFleet();
         request.callerFailureDomain = state::FailureDomain("domain-1");
         CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.2"),
-                             made().answer(request, members).addresses.front().ip);
+                             defaultDirectory().answer(request, members).addresses.front().ip);
         setStatus(members, 1, 5, 9, 2);
         CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.2"),
-                             made().answer(request, members).addresses.back().ip);
+                             defaultDirectory().answer(request, members).addresses.back().ip);
         membership::MemberRecord suspect = member(0);
         suspect.health = MemberHealth::Suspect;
         members.apply(suspect, now);
         CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.1"),
-                             made().answer(request, members).addresses.back().ip);
+                             defaultDirectory().answer(request, members).addresses.back().ip);
     }
 
     void shutdownServesHoldersOfOldAnswers()
     {
-        // A caller got its answer a moment before the entry's leaving became known, and connects
-        // just before the answer ages out; its long request then runs past that. All are served.
+        // A caller gets its answer just before the entry node's shutdown becomes known, connects
+        // just before the answer expires, and its long request runs past that. It must be served to
+        // the end.
         EntryShutdown shutdown(seconds(3), seconds(10));
         CPPUNIT_ASSERT(shutdown.tick(0, now) == ShutdownStage::Serving);
         shutdown.begin(now);
         CPPUNIT_ASSERT(shutdown.tick(0, now + seconds(12)) == ShutdownStage::Announced);
-        shutdown.begin(now + seconds(12)); // a second signal does not start the wait again
+        shutdown.begin(now + seconds(12)); // a second signal does not restart the wait
         CPPUNIT_ASSERT(shutdown.tick(1, now + seconds(13)) == ShutdownStage::Refusing);
         CPPUNIT_ASSERT(shutdown.tick(1, now + seconds(900)) == ShutdownStage::Refusing);
         CPPUNIT_ASSERT(shutdown.tick(0, now + seconds(901)) == ShutdownStage::Finished);
--- a/tests/coordination/directory/LeavingPlanTest.cpp
+++ b/tests/coordination/directory/LeavingPlanTest.cpp
@@ -1,4 +1,4 @@
-// When a node that was told to stop refuses calls and ends.
+// When a node that was told to stop starts to refuse calls and when it exits.
 #include "coordination/directory/LeavingPlan.h"
 
 #include <cppunit/TestFixture.h>
@@ -6,35 +6,36 @@
 
 namespace lavenderthread::coordination::directory {
 
-class LeavingPlanTest : public CppUnit::TestFixture
+class ShutdownScheduleTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(LeavingPlanTest);
-    CPPUNIT_TEST(noCallIsTakenThatCantEnd);
-    CPPUNIT_TEST(endsBeforeItIsKilled);
+    CPPUNIT_TEST_SUITE(ShutdownScheduleTest);
+    CPPUNIT_TEST(callsThatCannotFinishAreRefused);
+    CPPUNIT_TEST(exitsBeforeTheNodeIsKilled);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Guards against cut answers: a call that came 3.03 s after the signal of 8 s was taken, waited
-    // for an engine, and its answer was cut when the process ended.
-    void noCallIsTakenThatCantEnd()
+    // Guards against answers that are cut off: with a termination time of 8 s, a call that arrived
+    // 3.03 s after the signal was accepted, waited for an engine, and its answer was cut off when
+    // the process exited.
+    void callsThatCannotFinishAreRefused()
     {
-        const LeavingPlan plan = LeavingPlan::within(std::chrono::seconds(8));
-        CPPUNIT_ASSERT(plan.takesCalls <= std::chrono::seconds(3));
-        CPPUNIT_ASSERT(plan.ends - plan.takesCalls >= std::chrono::seconds(4));
+        const LeavingPlan schedule = LeavingPlan::within(std::chrono::seconds(8));
+        CPPUNIT_ASSERT(schedule.takesCalls <= std::chrono::seconds(3));
+        CPPUNIT_ASSERT(schedule.ends - schedule.takesCalls >= std::chrono::seconds(4));
     }
 
-    void endsBeforeItIsKilled()
+    void exitsBeforeTheNodeIsKilled()
     {
         for (const int seconds : {1, 3, 8, 30}) {
             const state::Duration termination = std::chrono::seconds(seconds);
-            const LeavingPlan plan = LeavingPlan::within(termination);
-            CPPUNIT_ASSERT(plan.takesCalls > state::Duration(0));
-            CPPUNIT_ASSERT(plan.takesCalls <= plan.ends);
-            CPPUNIT_ASSERT(plan.ends < termination);
+            const LeavingPlan schedule = LeavingPlan::within(termination);
+            CPPUNIT_ASSERT(schedule.takesCalls > state::Duration(0));
+            CPPUNIT_ASSERT(schedule.takesCalls <= schedule.ends);
+            CPPUNIT_ASSERT(schedule.ends < termination);
         }
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(LeavingPlanTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ShutdownScheduleTest);
 
 } // namespace lavenderthread::coordination::directory
--- a/tests/coordination/endpoints/EndpointLifeTest.cpp
+++ b/tests/coordination/endpoints/EndpointLifeTest.cpp
@@ -1,4 +1,5 @@
-// Fault table of endpoint life, on a few entries that hear of each other's records at once.
+// Fault scenarios of the endpoint lifecycle on three entry nodes that receive each other's records
+// at once.
 #include "coordination/endpoints/EndpointLife.h"
 
 #include <cppunit/TestFixture.h>
@@ -12,14 +13,15 @@
 
 const state::EndpointId engine("engine-1");
 
-// Three entries; records spread within one step of a second.
-struct World
+// Three entry nodes; published records reach all of them within one step of a second.
+struct TestCluster
 {
-    World()
+    TestCluster()
     {
         for (const char *id : {"a", "b", "c"}) {
             this->setMember(id, 1, membership::MemberHealth::Alive);
-            this->lives.push_back(EndpointLife::create({}, state::VmId(id), this->now).value());
+            this->lifecycles.push_back(
+                    EndpointLife::create({}, state::VmId(id), this->now).value());
         }
         this->tables.resize(3);
     }
@@ -38,24 +40,25 @@
         return {this->tables[entry], this->members, this->ring};
     }
 
-    void spread(const EndpointRecord &record)
+    void publish(const EndpointRecord &record)
     {
         ++this->published;
         for (EndpointTable &table : this->tables)
             table.apply(record, this->now);
     }
 
-    // True if it was taken.
+    // Returns whether the announcement was accepted.
     bool announce(std::size_t entry, std::uint64_t incarnation, const char *model = "m1")
     {
         state::EndpointDescription description{engine, {"10.0.0.9", 1}};
         description.incarnation = incarnation;
         description.models = {state::ModelName(model)};
-        const auto result = this->lives[entry].announce(description, this->view(entry), this->now);
+        const auto result =
+                this->lifecycles[entry].announce(description, this->view(entry), this->now);
         if (result.has_error())
             return false;
         if (result.value())
-            this->spread(*result.value());
+            this->publish(*result.value());
         return true;
     }
 
@@ -63,12 +66,12 @@
     {
         for (int index = 0; index < count; ++index) {
             this->now += seconds(1);
-            for (std::size_t entry = 0; entry < this->lives.size(); ++entry) {
-                if (this->dead == entry)
+            for (std::size_t entry = 0; entry < this->lifecycles.size(); ++entry) {
+                if (this->deadEntry == entry)
                     continue;
                 for (const EndpointRecord &record :
-                     this->lives[entry].tick(this->view(entry), this->now))
-                    this->spread(record);
+                     this->lifecycles[entry].tick(this->view(entry), this->now))
+                    this->publish(record);
             }
         }
     }
@@ -81,208 +84,215 @@
     state::Instant now = state::Instant(seconds(100));
     membership::MemberTable members;
     ownership::OwnerRing ring;
-    std::vector<EndpointLife> lives;
+    std::vector<EndpointLife> lifecycles;
     std::vector<EndpointTable> tables;
-    std::size_t dead = 99;
+    std::size_t deadEntry = 99;
     int published = 0;
 };
 
 } // namespace
 
-class EndpointLifeTest : public CppUnit::TestFixture
+class EndpointLifecycleTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(EndpointLifeTest);
-    CPPUNIT_TEST(announceRenewExpireReturn);
-    CPPUNIT_TEST(renewalsMakeNoNews);
-    CPPUNIT_TEST(leavingIsFinalForTheIncarnation);
-    CPPUNIT_TEST(leavingBeatsRenewalsMadeMeanwhile);
-    CPPUNIT_TEST(restartUnderTheSameIdReplaces);
-    CPPUNIT_TEST(drainOutlivesARestart);
-    CPPUNIT_TEST(flappingIsHeldAndReleased);
-    CPPUNIT_TEST(twoEntriesAtOnceSettleOnOne);
-    CPPUNIT_TEST(homeDiesAndTheEndpointMovesOrEnds);
-    CPPUNIT_TEST(homeRestartsWithoutMemory);
-    CPPUNIT_TEST(mergeIsTheSameInEveryOrder);
+    CPPUNIT_TEST_SUITE(EndpointLifecycleTest);
+    CPPUNIT_TEST(announcedEndpointExpiresAndIsReactivated);
+    CPPUNIT_TEST(renewalsPublishNothing);
+    CPPUNIT_TEST(deregistrationIsFinalForTheIncarnation);
+    CPPUNIT_TEST(deregistrationWinsOverConcurrentRenewals);
+    CPPUNIT_TEST(restartUnderTheSameIdReplacesTheIncarnation);
+    CPPUNIT_TEST(drainPersistsAcrossARestart);
+    CPPUNIT_TEST(flappingEndpointIsHeldAndReleased);
+    CPPUNIT_TEST(concurrentHomesConvergeToOne);
+    CPPUNIT_TEST(homeDiesAndTheEndpointMovesOrExpires);
+    CPPUNIT_TEST(homeRestartsWithoutItsRenewals);
+    CPPUNIT_TEST(mergeIsIndependentOfOrder);
     CPPUNIT_TEST(shortFormNeedsItsDescription);
     CPPUNIT_TEST(badAnnouncementsAreRefused);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void announceRenewExpireReturn()
+    void announcedEndpointExpiresAndIsReactivated()
     {
-        // An engine crashes silently: its renewals stop, and work must stop going there within the
-        // expiry. If it was only cut off, its next renewal brings it back without a new
-        // incarnation.
-        World world;
-        CPPUNIT_ASSERT(world.announce(0, 1));
-        CPPUNIT_ASSERT(world.record().isUsable());
-        world.step(14);
-        CPPUNIT_ASSERT(world.record().isUsable());
-        world.step(2);
-        CPPUNIT_ASSERT(world.record().phase == EndpointPhase::Expired);
-        CPPUNIT_ASSERT(world.announce(1, 1));
-        CPPUNIT_ASSERT(world.record().isUsable());
-        CPPUNIT_ASSERT(world.record().home == state::VmId("b"));
+        // An engine crashes without deregistering: its renewals stop, and it must get no more work
+        // once they expire. If it was only disconnected, its next renewal reactivates it without a
+        // new incarnation.
+        TestCluster cluster;
+        CPPUNIT_ASSERT(cluster.announce(0, 1));
+        CPPUNIT_ASSERT(cluster.record().isUsable());
+        cluster.step(14);
+        CPPUNIT_ASSERT(cluster.record().isUsable());
+        cluster.step(2);
+        CPPUNIT_ASSERT(cluster.record().phase == EndpointPhase::Expired);
+        CPPUNIT_ASSERT(cluster.announce(1, 1));
+        CPPUNIT_ASSERT(cluster.record().isUsable());
+        CPPUNIT_ASSERT(cluster.record().home == state::VmId("b"));
     }
 
-    void renewalsMakeNoNews()
+    void renewalsPublishNothing()
     {
-        // 1,800 replicas renew every 5 s; each as news to 370 nodes would fill every datagram.
-        World world;
+        // 1,800 replicas renew every 5 s. Publishing each renewal to 370 nodes would fill every
+        // datagram.
+        TestCluster cluster;
         for (int renewal = 0; renewal < 20; ++renewal) {
-            world.announce(0, 1);
-            world.step(5);
+            cluster.announce(0, 1);
+            cluster.step(5);
         }
-        CPPUNIT_ASSERT_EQUAL(1, world.published);
-        world.announce(0, 1, "m2"); // a model was loaded
-        CPPUNIT_ASSERT_EQUAL(2, world.published);
-        CPPUNIT_ASSERT(world.record().description->models.front() == state::ModelName("m2"));
+        CPPUNIT_ASSERT_EQUAL(1, cluster.published);
+        cluster.announce(0, 1, "m2"); // a model was loaded
+        CPPUNIT_ASSERT_EQUAL(2, cluster.published);
+        CPPUNIT_ASSERT(cluster.record().description->models.front() == state::ModelName("m2"));
     }
 
-    void leavingIsFinalForTheIncarnation()
+    void deregistrationIsFinalForTheIncarnation()
     {
-        // The endpoint says that it leaves at one entry while its last renewal is still on the way
-        // to another. The late renewal must not bring it back.
-        World world;
-        world.announce(0, 3);
-        CPPUNIT_ASSERT(world.lives[1].leave(engine, 2, world.view(1)).has_error());
-        CPPUNIT_ASSERT(world.lives[1].leave(state::EndpointId("x"), 2, world.view(1)).has_error());
-        world.spread(*world.lives[1].leave(engine, 3, world.view(1)).value());
-        CPPUNIT_ASSERT(!world.announce(2, 3));
-        world.step(5);
-        CPPUNIT_ASSERT(world.record().phase == EndpointPhase::Left);
-        CPPUNIT_ASSERT(world.announce(2, 4));
-        CPPUNIT_ASSERT(world.record().isUsable());
+        // The endpoint deregisters at one entry node while its last renewal is still in transit to
+        // another. The late renewal must not reactivate it.
+        TestCluster cluster;
+        cluster.announce(0, 3);
+        CPPUNIT_ASSERT(cluster.lifecycles[1].leave(engine, 2, cluster.view(1)).has_error());
+        CPPUNIT_ASSERT(cluster.lifecycles[1]
+                               .leave(state::EndpointId("x"), 2, cluster.view(1))
+                               .has_error());
+        cluster.publish(*cluster.lifecycles[1].leave(engine, 3, cluster.view(1)).value());
+        CPPUNIT_ASSERT(!cluster.announce(2, 3));
+        cluster.step(5);
+        CPPUNIT_ASSERT(cluster.record().phase == EndpointPhase::Left);
+        CPPUNIT_ASSERT(cluster.announce(2, 4));
+        CPPUNIT_ASSERT(cluster.record().isUsable());
     }
 
-    void leavingBeatsRenewalsMadeMeanwhile()
+    void deregistrationWinsOverConcurrentRenewals()
     {
-        // Callers are sent to an endpoint seconds after it said that it leaves. Its answers were
-        // lost, so its announcements went to several entries: one heard the farewell and made
-        // version 2 of it, another took the endpoint over meanwhile and made versions 2 and 3 that
-        // say that it lives. The later version must not undo the farewell, in whatever order they
-        // come, nor when the farewell was made on an older description.
-        World world;
-        world.announce(0, 3);
-        const EndpointRecord left = *world.lives[0].leave(engine, 3, world.view(0)).value();
-        EndpointRecord farewell = left;
-        farewell.description = nullptr;
-        world.announce(1, 3, "m2");
-        world.announce(1, 3, "m3");
-        CPPUNIT_ASSERT(world.record().version > left.version);
-        const EndpointRecord renewed = world.record();
-        CPPUNIT_ASSERT(merge(renewed, farewell).record.phase == EndpointPhase::Left);
+        // Guards against callers being sent to an endpoint seconds after it deregistered. The
+        // responses to the endpoint are lost, so it announces itself to several entry nodes: one
+        // receives the deregistration and publishes it as version 2, another takes the endpoint
+        // over meanwhile and publishes versions 2 and 3 with phase Live. The later version must not
+        // undo the deregistration, in any order of arrival, nor when the deregistration was made on
+        // an older description.
+        TestCluster cluster;
+        cluster.announce(0, 3);
+        const EndpointRecord left =
+                *cluster.lifecycles[0].leave(engine, 3, cluster.view(0)).value();
+        EndpointRecord deregistration = left;
+        deregistration.description = nullptr;
+        cluster.announce(1, 3, "m2");
+        cluster.announce(1, 3, "m3");
+        CPPUNIT_ASSERT(cluster.record().version > left.version);
+        const EndpointRecord renewed = cluster.record();
+        CPPUNIT_ASSERT(merge(renewed, deregistration).record.phase == EndpointPhase::Left);
         CPPUNIT_ASSERT(merge(left, renewed).record.phase == EndpointPhase::Left);
-        world.spread(farewell);
-        CPPUNIT_ASSERT(!world.announce(2, 3));
-        world.step(5);
-        CPPUNIT_ASSERT(world.record().phase == EndpointPhase::Left);
+        cluster.publish(deregistration);
+        CPPUNIT_ASSERT(!cluster.announce(2, 3));
+        cluster.step(5);
+        CPPUNIT_ASSERT(cluster.record().phase == EndpointPhase::Left);
     }
 
-    void restartUnderTheSameIdReplaces()
+    void restartUnderTheSameIdReplacesTheIncarnation()
     {
-        // A crashed engine comes back under its id and address while a renewal of its former life
-        // still arrives elsewhere; the old life must not win.
-        World world;
-        world.announce(0, 1);
-        world.announce(1, 1);
-        CPPUNIT_ASSERT(world.announce(2, 2));
-        CPPUNIT_ASSERT(!world.announce(1, 1));
-        world.step(3);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), world.record(0).incarnation);
-        CPPUNIT_ASSERT(!world.lives[0].isAnnouncedHere(engine, 1));
-        CPPUNIT_ASSERT(world.lives[2].isAnnouncedHere(engine, 2));
+        // A crashed engine restarts under its id and address while a renewal of its former
+        // incarnation still arrives at another entry node; the old incarnation must not win.
+        TestCluster cluster;
+        cluster.announce(0, 1);
+        cluster.announce(1, 1);
+        CPPUNIT_ASSERT(cluster.announce(2, 2));
+        CPPUNIT_ASSERT(!cluster.announce(1, 1));
+        cluster.step(3);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), cluster.record(0).incarnation);
+        CPPUNIT_ASSERT(!cluster.lifecycles[0].isAnnouncedHere(engine, 1));
+        CPPUNIT_ASSERT(cluster.lifecycles[2].isAnnouncedHere(engine, 2));
     }
 
-    void drainOutlivesARestart()
+    void drainPersistsAcrossARestart()
     {
-        World world;
-        world.announce(0, 1);
-        EndpointRecord mark{engine};
-        mark.drain = {{2, 7}, true};
-        world.spread(mark);
-        CPPUNIT_ASSERT(!world.record().isUsable());
-        world.announce(1, 2);
-        CPPUNIT_ASSERT(!world.record().isUsable());
-        mark.drain = {{2, 6}, false}; // an older undrain, delivered late
-        world.spread(mark);
-        CPPUNIT_ASSERT(!world.record().isUsable());
-        mark.drain = {{3, 1}, false};
-        world.spread(mark);
-        CPPUNIT_ASSERT(world.record().isUsable());
+        TestCluster cluster;
+        cluster.announce(0, 1);
+        EndpointRecord drainOrder{engine};
+        drainOrder.drain = {{2, 7}, true};
+        cluster.publish(drainOrder);
+        CPPUNIT_ASSERT(!cluster.record().isUsable());
+        cluster.announce(1, 2);
+        CPPUNIT_ASSERT(!cluster.record().isUsable());
+        drainOrder.drain = {{2, 6}, false}; // an undrain of a lower log position, delivered late
+        cluster.publish(drainOrder);
+        CPPUNIT_ASSERT(!cluster.record().isUsable());
+        drainOrder.drain = {{3, 1}, false};
+        cluster.publish(drainOrder);
+        CPPUNIT_ASSERT(cluster.record().isUsable());
     }
 
-    void flappingIsHeldAndReleased()
+    void flappingEndpointIsHeldAndReleased()
     {
-        // An engine crashes right after each start. Every start would draw work that then fails.
-        World world;
+        // An engine crashes right after each start. Without damping each start would attract
+        // requests that then fail.
+        TestCluster cluster;
         for (std::uint64_t incarnation = 1; incarnation <= 6; ++incarnation) {
-            world.announce(0, incarnation);
-            world.step(3);
+            cluster.announce(0, incarnation);
+            cluster.step(3);
         }
-        CPPUNIT_ASSERT(world.record().phase == EndpointPhase::Held);
-        const int before = world.published;
+        CPPUNIT_ASSERT(cluster.record().phase == EndpointPhase::Held);
+        const int before = cluster.published;
         for (int renewal = 0; renewal < 40; ++renewal) {
-            world.announce(0, 6);
-            world.step(5);
+            cluster.announce(0, 6);
+            cluster.step(5);
         }
-        CPPUNIT_ASSERT(world.record().phase == EndpointPhase::Live);
-        CPPUNIT_ASSERT_EQUAL(before + 1, world.published);
+        CPPUNIT_ASSERT(cluster.record().phase == EndpointPhase::Live);
+        CPPUNIT_ASSERT_EQUAL(before + 1, cluster.published);
     }
 
-    void twoEntriesAtOnceSettleOnOne()
+    void concurrentHomesConvergeToOne()
     {
-        // Each entry that takes renewals believes to be the home. They must not take the role from
-        // each other for ever, and the endpoint must stay usable throughout.
-        World world;
+        // Two entry nodes receive all renewals, and each would become the home. They must not take
+        // the role from each other forever, and the endpoint must stay usable throughout.
+        TestCluster cluster;
         for (int renewal = 0; renewal < 30; ++renewal) {
-            world.announce(2, 1);
-            world.announce(0, 1);
-            CPPUNIT_ASSERT(world.record().isUsable());
-            world.step(5);
+            cluster.announce(2, 1);
+            cluster.announce(0, 1);
+            CPPUNIT_ASSERT(cluster.record().isUsable());
+            cluster.step(5);
         }
-        CPPUNIT_ASSERT(world.record().home == state::VmId("a"));
-        CPPUNIT_ASSERT_EQUAL(2, world.published);
+        CPPUNIT_ASSERT(cluster.record().home == state::VmId("a"));
+        CPPUNIT_ASSERT_EQUAL(2, cluster.published);
     }
 
-    void homeDiesAndTheEndpointMovesOrEnds()
+    void homeDiesAndTheEndpointMovesOrExpires()
     {
-        // The entry that took the renewals dies. An endpoint that finds another entry goes on; one
-        // that died along with it is ended by its owner, once, after the time to move.
+        // The entry node that received the renewals dies. An endpoint that finds another entry node
+        // stays usable; one that died at the same time is expired by its owner, once, after it had
+        // time to move.
         for (const bool moves : {true, false}) {
-            World world;
-            world.announce(0, 1);
-            world.step(3);
-            world.dead = 0;
+            TestCluster cluster;
+            cluster.announce(0, 1);
+            cluster.step(3);
+            cluster.deadEntry = 0;
             if (moves)
-                world.announce(1, 1);
-            world.setMember("a", 1, membership::MemberHealth::Dead);
-            world.step(10);
-            CPPUNIT_ASSERT(world.record().isUsable());
+                cluster.announce(1, 1);
+            cluster.setMember("a", 1, membership::MemberHealth::Dead);
+            cluster.step(10);
+            CPPUNIT_ASSERT(cluster.record().isUsable());
             if (moves)
-                world.announce(1, 1);
-            world.step(8);
-            CPPUNIT_ASSERT(world.record().isUsable() == moves);
-            CPPUNIT_ASSERT_EQUAL(2, world.published);
+                cluster.announce(1, 1);
+            cluster.step(8);
+            CPPUNIT_ASSERT(cluster.record().isUsable() == moves);
+            CPPUNIT_ASSERT_EQUAL(2, cluster.published);
         }
     }
 
-    void homeRestartsWithoutMemory()
+    void homeRestartsWithoutItsRenewals()
     {
-        // The home entry crashes and is back at once under its id, with no memory of renewals. The
-        // endpoint, which died meanwhile, must not stay listed for good.
-        World world;
-        world.announce(0, 1);
-        world.lives[0] = EndpointLife::create({}, state::VmId("a"), world.now).value();
-        world.step(10);
-        CPPUNIT_ASSERT(world.record().isUsable());
-        world.step(7);
-        CPPUNIT_ASSERT(world.record().phase == EndpointPhase::Expired);
+        // The home entry node crashes and restarts at once under its id, without its record of
+        // renewals. The endpoint, which died meanwhile, must not stay listed forever.
+        TestCluster cluster;
+        cluster.announce(0, 1);
+        cluster.lifecycles[0] = EndpointLife::create({}, state::VmId("a"), cluster.now).value();
+        cluster.step(10);
+        CPPUNIT_ASSERT(cluster.record().isUsable());
+        cluster.step(7);
+        CPPUNIT_ASSERT(cluster.record().phase == EndpointPhase::Expired);
     }
 
-    void mergeIsTheSameInEveryOrder()
+    void mergeIsIndependentOfOrder()
     {
-        std::vector<EndpointRecord> news;
+        std::vector<EndpointRecord> updates;
         for (int index = 0; index < 6; ++index) {
             EndpointRecord record{engine,
                                   1U + static_cast<std::uint64_t>(index) / 3,
@@ -293,17 +303,17 @@
             record.descriptionVersion = record.version;
             record.description = std::make_shared<const state::EndpointDescription>();
             record.drain = {{1, static_cast<std::uint64_t>(index * 7 % 5)}, index % 2 == 0};
-            news.push_back(record);
+            updates.push_back(record);
         }
         std::mt19937_64 random(4);
         EndpointRecord expected{engine};
-        for (const EndpointRecord &record : news)
+        for (const EndpointRecord &record : updates)
             expected = merge(expected, record).record;
         for (int round = 0; round < 50; ++round) {
-            std::shuffle(news.begin(), news.end(), random);
+            std::shuffle(updates.begin(), updates.end(), random);
             EndpointRecord result{engine};
             for (int twice = 0; twice < 2; ++twice) {
-                for (const EndpointRecord &record : news)
+                for (const EndpointRecord &record : updates)
                     result = merge(result, record).record;
             }
             CPPUNIT_ASSERT(result == expected);
@@ -314,7 +324,8 @@
     {
         EndpointRecord known{engine, 2, 3, 3, EndpointPhase::Live, state::VmId("a")};
         known.description = std::make_shared<const state::EndpointDescription>();
-        EndpointRecord shortForm = known; // made on a description that this entry never got
+        // A short form made on a description that this entry node never received.
+        EndpointRecord shortForm = known;
         shortForm.description = nullptr;
         ++shortForm.version;
         ++shortForm.descriptionVersion;
@@ -325,32 +336,32 @@
         }
         shortForm.phase = EndpointPhase::Left;
         CPPUNIT_ASSERT(merge(known, shortForm).changed);
-        ++shortForm.incarnation; // of a life that is not known here at all
-        const EndpointRecord ended = merge(known, shortForm).record;
-        CPPUNIT_ASSERT(ended.phase == EndpointPhase::Left && ended.incarnation == 3);
+        ++shortForm.incarnation; // of an incarnation that is unknown here
+        const EndpointRecord merged = merge(known, shortForm).record;
+        CPPUNIT_ASSERT(merged.phase == EndpointPhase::Left && merged.incarnation == 3);
         for (const EndpointPhase phase :
              {EndpointPhase::Live, EndpointPhase::Held, EndpointPhase::Expired}) {
             shortForm.phase = phase;
             CPPUNIT_ASSERT(!merge(known, shortForm).changed);
-            CPPUNIT_ASSERT(!merge(ended, shortForm).changed);
+            CPPUNIT_ASSERT(!merge(merged, shortForm).changed);
         }
     }
 
     void badAnnouncementsAreRefused()
     {
-        World world;
-        CPPUNIT_ASSERT(!world.announce(0, 0));
+        TestCluster cluster;
+        CPPUNIT_ASSERT(!cluster.announce(0, 0));
         state::EndpointDescription huge{engine, {"10.0.0.9", 1}};
         huge.incarnation = 1;
         for (int model = 0; model < 90; ++model)
             huge.models.emplace_back("model-" + std::to_string(model));
-        const auto refused = world.lives[0].announce(huge, world.view(0), world.now);
+        const auto refused = cluster.lifecycles[0].announce(huge, cluster.view(0), cluster.now);
         CPPUNIT_ASSERT(refused.error().code == state::ErrorCode::InvalidArgument);
-        CPPUNIT_ASSERT(EndpointLife::create({seconds(5), seconds(6)}, state::VmId("a"), world.now)
+        CPPUNIT_ASSERT(EndpointLife::create({seconds(5), seconds(6)}, state::VmId("a"), cluster.now)
                                .has_error());
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(EndpointLifeTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(EndpointLifecycleTest);
 
 } // namespace lavenderthread::coordination::endpoints
--- a/tests/coordination/endpoints/EndpointTableTest.cpp
+++ b/tests/coordination/endpoints/EndpointTableTest.cpp
@@ -1,4 +1,4 @@
-// What is known of endpoints when news of them come in any order.
+// Endpoint table when updates arrive in any order.
 #include "coordination/endpoints/EndpointTable.h"
 
 #include <cppunit/TestFixture.h>
@@ -9,14 +9,14 @@
 class EndpointTableTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(EndpointTableTest);
-    CPPUNIT_TEST(farewellBeforeTheAnnouncementHolds);
-    CPPUNIT_TEST(laterStartOfAnEndpointThatLeftIsUsed);
-    CPPUNIT_TEST(deregistrationOfALaterStartHoldsBeforeItsAnnouncement);
+    CPPUNIT_TEST(deregistrationBeforeTheAnnouncementHolds);
+    CPPUNIT_TEST(laterIncarnationOfAnEndpointThatLeftIsUsable);
+    CPPUNIT_TEST(deregistrationOfALaterIncarnationHoldsBeforeItsAnnouncement);
     CPPUNIT_TEST_SUITE_END();
 
     const state::Instant now{std::chrono::seconds(100)};
 
-    static EndpointRecord announced(std::uint64_t incarnation)
+    static EndpointRecord announcement(std::uint64_t incarnation)
     {
         state::EndpointDescription description{state::EndpointId("engine-1"), {"10.9.9.9", 99}};
         description.incarnation = incarnation;
@@ -28,7 +28,7 @@
 
     static EndpointRecord left(std::uint64_t incarnation)
     {
-        EndpointRecord record = announced(incarnation);
+        EndpointRecord record = announcement(incarnation);
         record.version = 2;
         record.phase = EndpointPhase::Left;
         record.description = nullptr;
@@ -36,37 +36,39 @@
     }
 
 public:
-    void farewellBeforeTheAnnouncementHolds()
+    void deregistrationBeforeTheAnnouncementHolds()
     {
-        // An engine starts, is announced at one node, and leaves after three seconds. Its farewell
-        // overtakes its announcement on the way to an entry. The announcement, which came 2.4 s
-        // later, put it into use there, and callers' requests went to an engine that was ending.
+        // Guards against requests sent to a terminating engine: an engine is announced to one node
+        // and leaves after 3 s. Its deregistration overtakes its announcement on the way to an
+        // entry node, and the announcement, which arrives 2.4 s later, puts the engine into use
+        // there.
         EndpointTable table;
-        CPPUNIT_ASSERT(table.apply(left(7), this->now).changed); // so that it is passed on
-        table.apply(announced(7), this->now);
+        // A change, so that the deregistration is passed on.
+        CPPUNIT_ASSERT(table.apply(left(7), this->now).changed);
+        table.apply(announcement(7), this->now);
         const EndpointEntry *entry = table.find(state::EndpointId("engine-1"));
         CPPUNIT_ASSERT(entry != nullptr && !entry->record.isUsable());
         CPPUNIT_ASSERT(entry->record.phase == EndpointPhase::Left);
     }
 
-    void laterStartOfAnEndpointThatLeftIsUsed()
+    void laterIncarnationOfAnEndpointThatLeftIsUsable()
     {
         EndpointTable table;
         table.apply(left(7), this->now);
-        table.apply(announced(8), this->now);
+        table.apply(announcement(8), this->now);
         CPPUNIT_ASSERT(table.find(state::EndpointId("engine-1"))->record.isUsable());
     }
 
-    // Guards against work for an endpoint that restarted under its id and left again, where the
-    // second life's end came before its beginning.
-    void deregistrationOfALaterStartHoldsBeforeItsAnnouncement()
+    // Guards against work for an endpoint that restarted under its id and left again, when the
+    // deregistration of the second incarnation arrives before its announcement.
+    void deregistrationOfALaterIncarnationHoldsBeforeItsAnnouncement()
     {
         EndpointTable table;
-        table.apply(announced(7), this->now);
+        table.apply(announcement(7), this->now);
         CPPUNIT_ASSERT(table.apply(left(8), this->now).changed);
-        table.apply(announced(8), this->now);
+        table.apply(announcement(8), this->now);
         CPPUNIT_ASSERT(!table.find(state::EndpointId("engine-1"))->record.isUsable());
-        table.apply(announced(9), this->now);
+        table.apply(announcement(9), this->now);
         CPPUNIT_ASSERT(table.find(state::EndpointId("engine-1"))->record.isUsable());
     }
 };
--- a/tests/coordination/endpoints/MemoryAuditTest.cpp
+++ b/tests/coordination/endpoints/MemoryAuditTest.cpp
@@ -1,4 +1,5 @@
-// Memory audit under deaths: orphans are freed in time, and what a live holder uses never is.
+// Memory audit under failures: orphaned memory is freed in time, and memory that a live holder uses
+// is never freed.
 #include "coordination/endpoints/MemoryAudit.h"
 
 #include <cppunit/TestFixture.h>
@@ -15,9 +16,9 @@
 
 const state::EndpointId engine("engine-1");
 
-struct World
+struct AuditHarness
 {
-    World()
+    AuditHarness()
         : audit({})
     {
         for (const char *id : {"a", "b"})
@@ -46,18 +47,20 @@
                 .has_value();
     }
 
-    // Polls the engine for some seconds; gives those after which `lease` was freed, -1 if never.
-    int poll(const std::string &lease, int time, const std::function<void()> &each = {})
+    // Audits the engine once per second for up to `limitSeconds`. Returns the number of seconds
+    // after which `lease` was freed, -1 if never.
+    int poll(const std::string &lease, int limitSeconds,
+             const std::function<void()> &beforeAudit = {})
     {
-        for (int second = 0; second < time; ++second) {
-            if (each)
-                each();
+        for (int second = 0; second < limitSeconds; ++second) {
+            if (beforeAudit)
+                beforeAudit();
             const AuditActions actions =
                     this->audit.held(engine, {{lease, HeldKind::Reservation, 100}}, this->members,
                                      this->isolated, this->now);
-            this->questions += static_cast<int>(actions.questions.size());
-            for (const AuditQuestion &question : actions.questions)
-                this->last = question;
+            this->queryCount += static_cast<int>(actions.questions.size());
+            for (const AuditQuestion &query : actions.questions)
+                this->lastQuery = query;
             if (!actions.frees.empty())
                 return second;
             this->now += seconds(1);
@@ -69,8 +72,8 @@
     membership::MemberTable members;
     state::Instant now = state::Instant(seconds(100));
     bool isolated = false;
-    int questions = 0;
-    AuditQuestion last;
+    int queryCount = 0;
+    AuditQuestion lastQuery;
 };
 
 constexpr int graceSeconds = 12;
@@ -80,198 +83,207 @@
 class MemoryAuditTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(MemoryAuditTest);
-    CPPUNIT_TEST(faultTable);
-    CPPUNIT_TEST(ownerChangeInTheMiddleOfAReservation);
-    CPPUNIT_TEST(adoptionSavesAStreamUnlessItIsTooLate);
-    CPPUNIT_TEST(liveLeasesSurviveAnyHistory);
-    CPPUNIT_TEST(namesTellTheirMaker);
+    CPPUNIT_TEST(orphanedMemoryIsFreedInTime);
+    CPPUNIT_TEST(ownerChangeDuringAReservation);
+    CPPUNIT_TEST(adoptionKeepsAStreamUnlessItIsTooLate);
+    CPPUNIT_TEST(renewedLeasesAreNeverFreed);
+    CPPUNIT_TEST(leaseNamesContainTheirCreator);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void faultTable()
+    void orphanedMemoryIsFreedInTime()
     {
-        // An entry takes engine memory and dies, restarts, stalls or is only unknown to this owner.
-        // Memory that is never freed shrinks the engine for good; memory freed too early breaks a
-        // running request. Each line: what happened, and whether the memory is freed in time.
+        // An entry node takes engine memory and dies, restarts, stalls or is only unknown to this
+        // owner. Memory that is never freed permanently reduces the engine's capacity; memory freed
+        // too early breaks a running request. Each case says what happened and whether the memory
+        // is freed in time.
         struct Case
         {
             const char *name;
-            std::function<void(World &)> before;
-            std::function<void(World &)> each;
+            std::function<void(AuditHarness &)> before;
+            std::function<void(AuditHarness &)> beforeAudit;
             bool freed;
         };
-        const std::string lease = World::name("a", 1);
-        const auto kill = [](World &world) {
-            world.setMember("a", 1, membership::MemberHealth::Dead);
+        const std::string lease = AuditHarness::name("a", 1);
+        const auto kill = [](AuditHarness &harness) {
+            harness.setMember("a", 1, membership::MemberHealth::Dead);
         };
         const std::vector<Case> cases{
-                {"renewed", {}, [&](World &world) { world.grant(lease, "a"); }, false},
+                {"renewed", {}, [&](AuditHarness &harness) { harness.grant(lease, "a"); }, false},
                 {"holder died",
-                 [&](World &world) {
-                     world.grant(lease, "a");
-                     kill(world);
+                 [&](AuditHarness &harness) {
+                     harness.grant(lease, "a");
+                     kill(harness);
                  },
                  {},
                  true},
-                {"holder died, owner forgot", kill, {}, true},
+                {"holder died, owner has no lease", kill, {}, true},
                 {"holder restarted",
-                 [](World &world) { world.setMember("a", 2, membership::MemberHealth::Alive); },
+                 [](AuditHarness &harness) {
+                     harness.setMember("a", 2, membership::MemberHealth::Alive);
+                 },
                  {},
                  true},
                 {"holder only suspected",
-                 [&](World &world) { world.setMember("a", 1, membership::MemberHealth::Suspect); },
+                 [&](AuditHarness &harness) {
+                     harness.setMember("a", 1, membership::MemberHealth::Suspect);
+                 },
                  {},
                  false},
-                {"unknown here, holder lives and is silent", {}, {}, false},
+                {"unknown here, live holder does not answer", {}, {}, false},
                 {"holder denies it",
                  {},
-                 [&](World &world) {
-                     if (world.questions > 0)
-                         world.audit.denied(engine, lease, {state::VmId("a"), 1});
+                 [&](AuditHarness &harness) {
+                     if (harness.queryCount > 0)
+                         harness.audit.denied(engine, lease, {state::VmId("a"), 1});
                  },
                  true},
-                {"another denies it",
+                {"another entry node denies it",
                  {},
-                 [&](World &world) {
-                     world.audit.denied(engine, lease, {state::VmId("b"), 1});
+                 [&](AuditHarness &harness) {
+                     harness.audit.denied(engine, lease, {state::VmId("b"), 1});
                  },
                  false},
                 {"released by its holder",
-                 [&](World &world) {
-                     world.grant(lease, "a");
-                     world.audit.release(engine, lease);
+                 [&](AuditHarness &harness) {
+                     harness.grant(lease, "a");
+                     harness.audit.release(engine, lease);
                  },
                  {},
                  true},
                 {"holder stopped renewing",
-                 [&](World &world) { world.grant(lease, "a"); },
+                 [&](AuditHarness &harness) { harness.grant(lease, "a"); },
                  {},
                  true},
                 {"owner is isolated",
-                 [&](World &world) {
-                     kill(world);
-                     world.isolated = true;
+                 [&](AuditHarness &harness) {
+                     kill(harness);
+                     harness.isolated = true;
                  },
                  {},
                  false},
-                {"holder newer than the news of it",
-                 [&](World &world) {
+                {"holder incarnation newer than the known one",
+                 [&](AuditHarness &harness) {
                      membership::MemberTable older;
-                     world.members = older;
-                     world.setMember("a", 0, membership::MemberHealth::Alive);
+                     harness.members = older;
+                     harness.setMember("a", 0, membership::MemberHealth::Alive);
                  },
                  {},
                  false},
         };
         for (const Case &fault : cases) {
-            World world;
+            AuditHarness harness;
             if (fault.before)
-                fault.before(world);
-            const int after = world.poll(lease, 60, [&] {
-                if (fault.each)
-                    fault.each(world);
+                fault.before(harness);
+            const int after = harness.poll(lease, 60, [&] {
+                if (fault.beforeAudit)
+                    fault.beforeAudit(harness);
             });
             CPPUNIT_ASSERT_MESSAGE(fault.name, (after >= 0) == fault.freed);
             CPPUNIT_ASSERT_MESSAGE(fault.name, after <= graceSeconds + 10);
         }
-        World world;
-        kill(world);
-        CPPUNIT_ASSERT(world.poll("no-maker", 60) == graceSeconds);
+        AuditHarness harness;
+        kill(harness);
+        CPPUNIT_ASSERT(harness.poll("no-creator", 60) == graceSeconds);
     }
 
-    void ownerChangeInTheMiddleOfAReservation()
+    void ownerChangeDuringAReservation()
     {
-        // A reservation was granted by an owner that died before anything else. The new owner sees
-        // memory in use that it never granted; the holder's next renewal reaches it in time.
-        World world;
-        const std::string lease = World::name("a", 1);
-        world.audit.lost(engine);
-        CPPUNIT_ASSERT(!world.grant(lease, "a"));
-        CPPUNIT_ASSERT_EQUAL(-1, world.poll(lease, 30));
-        world.audit.gained(engine);
-        CPPUNIT_ASSERT_EQUAL(-1, world.poll(lease, 8));
-        CPPUNIT_ASSERT(world.questions > 0 && world.last.holder == state::VmId("a"));
-        CPPUNIT_ASSERT(world.grant(lease, "a"));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t(100), world.audit.leasedTokens(engine, world.now));
-        CPPUNIT_ASSERT_EQUAL(-1, world.poll(lease, 60, [&] { world.grant(lease, "a"); }));
+        // An owner grants a reservation and dies right after. The new owner sees memory in use that
+        // it never granted; the holder's next renewal reaches it in time.
+        AuditHarness harness;
+        const std::string lease = AuditHarness::name("a", 1);
+        harness.audit.lost(engine);
+        CPPUNIT_ASSERT(!harness.grant(lease, "a"));
+        CPPUNIT_ASSERT_EQUAL(-1, harness.poll(lease, 30));
+        harness.audit.gained(engine);
+        CPPUNIT_ASSERT_EQUAL(-1, harness.poll(lease, 8));
+        CPPUNIT_ASSERT(harness.queryCount > 0 && harness.lastQuery.holder == state::VmId("a"));
+        CPPUNIT_ASSERT(harness.grant(lease, "a"));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t(100), harness.audit.leasedTokens(engine, harness.now));
+        CPPUNIT_ASSERT_EQUAL(-1, harness.poll(lease, 60, [&] { harness.grant(lease, "a"); }));
     }
 
-    void adoptionSavesAStreamUnlessItIsTooLate()
+    void adoptionKeepsAStreamUnlessItIsTooLate()
     {
-        // The entry of a stream dies; its caller resumes at another one, which adopts the stream.
-        // Every entry is asked before it is freed, and once the free is ordered it is too late.
-        const std::string lease = World::name("a", 1);
-        World world;
-        world.setMember("a", 1, membership::MemberHealth::Dead);
+        // The entry node of a stream dies; its caller resumes at another one, which adopts the
+        // stream. All entry nodes are queried before the stream is freed; once the free is ordered,
+        // an adoption is refused.
+        const std::string lease = AuditHarness::name("a", 1);
+        AuditHarness harness;
+        harness.setMember("a", 1, membership::MemberHealth::Dead);
         const auto adopt = [&] {
-            if (world.questions > 0 && !world.last.holder)
-                world.grant(lease, "b");
+            if (harness.queryCount > 0 && !harness.lastQuery.holder)
+                harness.grant(lease, "b");
         };
-        CPPUNIT_ASSERT_EQUAL(-1, world.poll(lease, 60, adopt));
-        World late;
-        late.setMember("a", 1, membership::MemberHealth::Dead);
-        CPPUNIT_ASSERT_EQUAL(graceSeconds, late.poll(lease, 60));
-        CPPUNIT_ASSERT(!late.grant(lease, "b"));
-        CPPUNIT_ASSERT(late.poll(lease, 9) >= 0); // repeated until the engine no longer lists it
+        CPPUNIT_ASSERT_EQUAL(-1, harness.poll(lease, 60, adopt));
+        AuditHarness lateHarness;
+        lateHarness.setMember("a", 1, membership::MemberHealth::Dead);
+        CPPUNIT_ASSERT_EQUAL(graceSeconds, lateHarness.poll(lease, 60));
+        CPPUNIT_ASSERT(!lateHarness.grant(lease, "b"));
+        // The free order is repeated until the engine no longer lists the lease.
+        CPPUNIT_ASSERT(lateHarness.poll(lease, 9) >= 0);
     }
 
-    void liveLeasesSurviveAnyHistory()
+    void renewedLeasesAreNeverFreed()
     {
-        // Random deaths, restarts, owner changes and lost renewals. Whatever the order, no lease
-        // that its live holder renewed within its time is freed, and orphans are gone at the end.
+        // Random deaths, restarts, owner changes and lost renewals in any order. No lease that its
+        // live holder renewed before its expiry is freed, and no orphan is left at the end.
         for (std::uint64_t seed = 1; seed <= 40; ++seed) {
             std::mt19937_64 random(seed);
-            World world;
+            AuditHarness harness;
             std::uint64_t incarnation[2] = {1, 1};
             const char *ids[2] = {"a", "b"};
             std::set<std::string> held;
-            std::map<std::string, state::Instant> renewed; // by live holders
+            std::map<std::string, state::Instant> renewed; // last renewal by a live holder
             std::uint64_t serial = 0;
             for (int second = 0; second < 200; ++second) {
-                const std::size_t who = random() % 2;
-                const bool quiet = second > 120;
-                if (!quiet && random() % 20 == 0)
-                    world.setMember(ids[who], ++incarnation[who], membership::MemberHealth::Alive);
-                if (!quiet && random() % 30 == 0) {
-                    world.audit.lost(engine);
-                    world.audit.gained(engine);
+                const std::size_t memberIndex = random() % 2;
+                const bool isQuiet = second > 120;
+                if (!isQuiet && random() % 20 == 0)
+                    harness.setMember(ids[memberIndex], ++incarnation[memberIndex],
+                                      membership::MemberHealth::Alive);
+                if (!isQuiet && random() % 30 == 0) {
+                    harness.audit.lost(engine);
+                    harness.audit.gained(engine);
                 }
-                if (!quiet && random() % 3 == 0)
-                    held.insert(World::name(ids[who], incarnation[who], ++serial));
+                if (!isQuiet && random() % 3 == 0)
+                    held.insert(AuditHarness::name(ids[memberIndex], incarnation[memberIndex],
+                                                   ++serial));
                 std::vector<HeldItem> items;
                 for (const std::string &lease : held) {
-                    const LeaseHolder maker = *makerOf(lease);
-                    const std::size_t owner = maker.vm == state::VmId("a") ? 0 : 1;
-                    if (maker.incarnation == incarnation[owner] && random() % 3 == 0
-                        && world.grant(lease, ids[owner], maker.incarnation))
-                        renewed[lease] = world.now;
+                    const LeaseHolder creator = *makerOf(lease);
+                    const std::size_t owner = creator.vm == state::VmId("a") ? 0 : 1;
+                    if (creator.incarnation == incarnation[owner] && random() % 3 == 0
+                        && harness.grant(lease, ids[owner], creator.incarnation))
+                        renewed[lease] = harness.now;
                     items.push_back({lease, HeldKind::Export, 1});
                 }
                 const auto actions =
-                        world.audit.held(engine, items, world.members, false, world.now);
+                        harness.audit.held(engine, items, harness.members, false, harness.now);
                 for (const AuditFree &free : actions.frees) {
-                    const LeaseHolder maker = *makerOf(free.item.lease);
-                    const std::size_t owner = maker.vm == state::VmId("a") ? 0 : 1;
-                    const bool live = maker.incarnation == incarnation[owner];
+                    const LeaseHolder creator = *makerOf(free.item.lease);
+                    const std::size_t owner = creator.vm == state::VmId("a") ? 0 : 1;
+                    const bool live = creator.incarnation == incarnation[owner];
                     CPPUNIT_ASSERT(!live
                                    || (renewed.contains(free.item.lease)
-                                       && world.now - renewed[free.item.lease] > seconds(10)));
+                                       && harness.now - renewed[free.item.lease] > seconds(10)));
                     held.erase(free.item.lease);
                 }
-                world.now += seconds(1);
+                harness.now += seconds(1);
             }
             for (const std::string &lease : held) {
-                const LeaseHolder maker = *makerOf(lease);
-                CPPUNIT_ASSERT(maker.incarnation
-                               == incarnation[maker.vm == state::VmId("a") ? 0 : 1]);
+                const LeaseHolder creator = *makerOf(lease);
+                CPPUNIT_ASSERT(creator.incarnation
+                               == incarnation[creator.vm == state::VmId("a") ? 0 : 1]);
             }
         }
     }
 
-    void namesTellTheirMaker()
+    void leaseNamesContainTheirCreator()
     {
-        const LeaseHolder maker{state::VmId("ga.north-1"), 77};
-        CPPUNIT_ASSERT(makerOf(makeLeaseName(maker, 9)) == maker);
+        const LeaseHolder creator{state::VmId("ga.north-1"), 77};
+        CPPUNIT_ASSERT(makerOf(makeLeaseName(creator, 9)) == creator);
         for (const char *text : {"", ".", "..", "a.1", "a.x.1", "a..1", ".1.1"})
             CPPUNIT_ASSERT_MESSAGE(text, !makerOf(text));
     }
--- a/tests/coordination/ownership/OwnerRingTest.cpp
+++ b/tests/coordination/ownership/OwnerRingTest.cpp
@@ -1,4 +1,5 @@
-// Owners: the same from every entry, moved only where needed, on the endpoint's side of a split.
+// Owners are the same on every entry node, move only where needed, and stay on the endpoint's side
+// of a network partition.
 #include "coordination/ownership/OwnerRing.h"
 #include "coordination/ownership/OwnedEndpoints.h"
 
@@ -35,7 +36,7 @@
     return members;
 }
 
-void worsen(membership::MemberTable &members, int index, membership::MemberHealth health)
+void setHealth(membership::MemberTable &members, int index, membership::MemberHealth health)
 {
     membership::MemberRecord record = member(index);
     record.health = health;
@@ -54,30 +55,31 @@
 class OwnerRingTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(OwnerRingTest);
-    CPPUNIT_TEST(onlyTheDeadOwnersShareMoves);
+    CPPUNIT_TEST(onlyTheShareOfADeadOwnerMoves);
     CPPUNIT_TEST(ownersStayInTheEndpointsRegion);
-    CPPUNIT_TEST(handOverStartsWithoutTrust);
-    CPPUNIT_TEST(everyHomeIsWatchedAlike);
+    CPPUNIT_TEST(newOwnerSettlesFirst);
+    CPPUNIT_TEST(everyHomeHasEquallyManyWatchers);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void onlyTheDeadOwnersShareMoves()
+    void onlyTheShareOfADeadOwnerMoves()
     {
-        // Each move of an owner costs an audit from nothing; a suspicion alone must cost none.
+        // Each change of an owner costs a memory audit from scratch; a suspicion alone must not
+        // cause one.
         membership::MemberTable members = tableOf(18);
         const OwnerRing before = OwnerRing::of(members);
-        worsen(members, 4, membership::MemberHealth::Suspect);
+        setHealth(members, 4, membership::MemberHealth::Suspect);
         CPPUNIT_ASSERT(OwnerRing::of(members) == before);
-        worsen(members, 4, membership::MemberHealth::Dead);
+        setHealth(members, 4, membership::MemberHealth::Dead);
         const OwnerRing after = OwnerRing::of(members);
         std::map<state::VmId, int> brokers;
         for (int index = 0; index < 900; ++index) {
             const state::ClientAccountId account("account-" + std::to_string(index));
-            const state::VmId was = before.quotaBroker(account);
-            const state::VmId is = after.quotaBroker(account);
-            CPPUNIT_ASSERT(was == is || was == member(4).id);
-            CPPUNIT_ASSERT(is != member(4).id);
-            ++brokers[was];
+            const state::VmId ownerBefore = before.quotaBroker(account);
+            const state::VmId ownerAfter = after.quotaBroker(account);
+            CPPUNIT_ASSERT(ownerBefore == ownerAfter || ownerBefore == member(4).id);
+            CPPUNIT_ASSERT(ownerAfter != member(4).id);
+            ++brokers[ownerBefore];
         }
         for (const auto &[id, count] : brokers)
             CPPUNIT_ASSERT(count > 20 && count < 90); // 50 on average
@@ -86,7 +88,8 @@
 
     void ownersStayInTheEndpointsRegion()
     {
-        // Regions lose each other: an owner across the split could neither poll nor free.
+        // Regions lose contact: an owner on the other side of the partition could neither poll the
+        // engine nor free its memory.
         membership::MemberTable members = tableOf(18);
         const OwnerRing ring = OwnerRing::of(members);
         for (int index = 0; index < 100; ++index) {
@@ -95,11 +98,11 @@
                            == state::Region("region-1"));
         }
         for (int index = 1; index < 18; index += 2)
-            worsen(members, index, membership::MemberHealth::Dead);
+            setHealth(members, index, membership::MemberHealth::Dead);
         CPPUNIT_ASSERT(!OwnerRing::of(members).endpointOwner(engine(1), oddDomain).empty());
     }
 
-    void handOverStartsWithoutTrust()
+    void newOwnerSettlesFirst()
     {
         membership::MemberTable members = tableOf(4);
         endpoints::EndpointTable table;
@@ -113,7 +116,7 @@
         OwnedEndpoints owned(seconds(12));
         CPPUNIT_ASSERT(
                 owned.update(member(other).id, OwnerRing::of(members), table, now).gained.empty());
-        worsen(members, 4 - other, membership::MemberHealth::Dead);
+        setHealth(members, 4 - other, membership::MemberHealth::Dead);
         CPPUNIT_ASSERT_EQUAL(
                 std::size_t(1),
                 owned.update(member(other).id, OwnerRing::of(members), table, now).gained.size());
@@ -127,10 +130,10 @@
         CPPUNIT_ASSERT(!owned.owns(engine(1)));
     }
 
-    void everyHomeIsWatchedAlike()
+    void everyHomeHasEquallyManyWatchers()
     {
-        // A replica that no entry watches would get less work than it can take, and an entry that
-        // watches few replicas would herd its work on them.
+        // A replica that no entry node watches would get less work than its capacity, and an entry
+        // node that watches few replicas would concentrate its work on them.
         struct Case
         {
             int entries;
