--- a/src/coordination/consensus/Consensus.cpp
+++ b/src/coordination/consensus/Consensus.cpp
@@ -1,4 +1,4 @@
-// Start, events, timers, and the order between writes and messages.
+// Startup, event dispatch, timers, and the ordering of writes before messages.
 #include "coordination/consensus/Consensus.h"
 
 #include <algorithm>
@@ -29,7 +29,7 @@
 {
     BOOST_OUTCOME_TRYV(settings.check());
     if (self.empty())
-        return makeError(ErrorCode::InvalidArgument, "consensus.create", "no id");
+        return makeError(ErrorCode::InvalidArgument, "consensus.create", "member id is empty");
     BOOST_OUTCOME_TRY(MemberSet members, MemberSet::decode(stored.snapshot.configuration));
     Consensus machine(settings, self, seed, now);
     machine.hardState = stored.hardState;
@@ -44,7 +44,8 @@
                           && entry.position.term >= machine.log.last().term;
         if (!fits)
             return makeError(ErrorCode::Corrupt, "consensus.create",
-                             "gap before entry " + std::to_string(entry.position.index));
+                             "gap or decreasing term before log entry "
+                                     + std::to_string(entry.position.index));
         if (entry.kind == LogEntryKind::Configuration) {
             BOOST_OUTCOME_TRY(MemberSet next, MemberSet::decode(entry.payload));
             machine.configurations.push_back({entry.position.index, std::move(next)});
@@ -52,7 +53,8 @@
         machine.log.append(entry);
     }
     if (machine.log.last().term > stored.hardState.currentTerm)
-        return makeError(ErrorCode::Corrupt, "consensus.create", "entries newer than the term");
+        return makeError(ErrorCode::Corrupt, "consensus.create",
+                         "log entries have a higher term than the stored current term");
     machine.persisted = machine.log.last().index;
     machine.resetElectionTimer();
     return machine;
@@ -92,16 +94,17 @@
             this->resetElectionTimer();
         return;
     }
-    // Check-quorum: an isolated leader would otherwise go on taking proposals that it can never
-    // commit, and its callers would wait instead of asking the new leader.
+    // Check-quorum: an isolated leader would otherwise keep accepting proposals that it can never
+    // commit, and its callers would wait instead of contacting the new leader.
     const state::Instant oldest = this->now - this->settings.electionTimeout;
-    const bool alone = this->electedAt <= oldest
-                       && !this->quorumAnswersSince(oldest + state::Duration(1), this->members());
-    // A leader whose disk hangs would hold its lease and acknowledge nothing. It makes way; until
-    // the disk moves again its vote requests stay held.
+    const bool isolated =
+            this->electedAt <= oldest
+            && !this->quorumAnswersSince(oldest + state::Duration(1), this->members());
+    // A leader whose disk hangs would keep its lease but acknowledge nothing, so it steps down. Its
+    // vote requests stay held until the disk completes the pending writes.
     const bool stalled = !this->writes.empty()
                          && this->writes.front().issued + this->settings.diskStall <= this->now;
-    if (alone || stalled) {
+    if (isolated || stalled) {
         this->becomeFollower(this->hardState.currentTerm, {});
         return;
     }
@@ -185,8 +188,9 @@
     this->actions.messages.push_back({this->self, to, std::move(body)});
 }
 
-// Votes, vote requests and answers to appends state what this member remembers. Sent before the
-// sync, a crash would make them lies: two votes in one term, or a committed entry held by nobody.
+// Votes, vote requests and append responses depend on state that must survive a crash. If they were
+// sent before the sync, a crash could lead to two votes in one term, or to a committed entry that
+// no member stores.
 void Consensus::sendWhenPersisted(const state::VmId &to, MessageBody body)
 {
     this->unsentAnswers.push_back({this->self, to, std::move(body)});
@@ -222,7 +226,7 @@
     this->markPersist();
     this->actions.entries.push_back(entry);
     if (entry.kind == LogEntryKind::Configuration) {
-        // The sender checked it; a set that can't be read is a fault of this process or its peer.
+        // The sender validated the set, so a decoding error is a bug in this process or its peer.
         state::Result<MemberSet> members = MemberSet::decode(entry.payload);
         if (members.has_error()) {
             this->halt(members.error());
@@ -261,13 +265,14 @@
 
 void Consensus::askForSnapshot()
 {
-    const std::size_t mostBytes =
+    const std::size_t payloadLimit =
             std::clamp(this->latestSnapshot->bytes.size(), this->settings.compactionLeastBytes,
                        this->settings.compactionBytes);
     const bool due = this->log.size() > this->settings.compactionEntries
-                     || this->log.payloadBytes() > mostBytes;
-    const std::uint64_t gain = this->applied - this->latestSnapshot->last.index;
-    if (!due || this->snapshotAsked || gain == 0 || gain < this->settings.trailingEntries / 2)
+                     || this->log.payloadBytes() > payloadLimit;
+    const std::uint64_t newEntries = this->applied - this->latestSnapshot->last.index;
+    if (!due || this->snapshotAsked || newEntries == 0
+        || newEntries < this->settings.trailingEntries / 2)
         return;
     this->snapshotAsked = true;
     this->actions.snapshotWanted = SnapshotWanted{{*this->log.termAt(this->applied), this->applied},
--- a/src/coordination/consensus/Consensus.h
+++ b/src/coordination/consensus/Consensus.h
@@ -1,8 +1,9 @@
-// The consensus of one control member: (state, event, now) -> actions, Raft with pre-vote,
-// check-quorum, a leader lease, learners and one-at-a-time change of members.
+// Raft consensus of one control member as a deterministic state machine: (state, event, now) ->
+// actions. Implements pre-vote, check-quorum, a leader lease, learners and single-member changes.
 //
 // Sources: Consensus.cpp (events, timers, writes), Election.cpp, Replication.cpp (leader),
-// Following.cpp (follower), SnapshotTransfer.cpp, Proposals.cpp (proposals, reads, members).
+// Following.cpp (follower), SnapshotTransfer.cpp, Proposals.cpp (proposals, reads, member
+// changes).
 #pragma once
 
 #include "coordination/consensus/Events.h"
@@ -24,8 +25,9 @@
 
 namespace lavenderthread::coordination::consensus {
 
-// What the disk held at start. The driver has restored its state from `snapshot`. A first member
-// set is given as a snapshot at position {0, 0}; a newcomer starts with an empty one.
+// State read from disk at startup. The driver has already restored its own state from `snapshot`.
+// The initial member set is passed as a snapshot at position {0, 0}; a new member starts with an
+// empty set.
 struct Stored
 {
     state::log::HardState hardState;
@@ -33,16 +35,18 @@
     std::vector<state::log::LogEntry> entries; // contiguous; those up to snapshot.last are skipped
 };
 
+// Handles one event at a time. It performs no I/O: the driver carries out the returned actions.
 class Consensus
 {
 public:
-    // Errors: InvalidArgument (settings, id), Corrupt (the stored parts do not fit together).
+    // Errors: InvalidArgument (settings, id), Corrupt (snapshot, entries and term are
+    // inconsistent).
     static state::Result<Consensus> create(const Settings &settings, const state::VmId &self,
                                            const Stored &stored, std::uint64_t seed,
                                            state::Instant now);
 
     Actions step(const Event &event, state::Instant now);
-    state::Instant nextTimer() const; // Tick is due then; later does no harm but delay
+    state::Instant nextTimer() const; // when Tick is due; a late Tick only delays
 
     Role currentRole() const { return this->role; }
     std::uint64_t currentTerm() const { return this->hardState.currentTerm; }
@@ -50,15 +54,16 @@
     std::uint64_t committedIndex() const { return this->commit; }
     state::log::LogPosition lastPosition() const { return this->log.last(); }
     const state::VmId &id() const { return this->self; }
-    // The newest set in the log, and the one that can't be undone any more.
+    // The newest set in the log, which may still be truncated.
     const MemberSet &members() const { return this->configurations.back().members; }
+    // The newest applied set, which is final.
     const MemberSet &committedMembers() const;
     std::optional<Member> knownLeader() const;
-    // True while this leader may acknowledge, answer reads and give orders.
+    // True while this leader may acknowledge proposals, answer reads and issue orders.
     bool holdsLease(state::Instant now) const;
-    // Where that ends as far as is known now; nothing without a lease.
+    // When the lease ends, as far as known now; empty without a lease.
     std::optional<state::Instant> leaseUntil() const;
-    // Learners that may be promoted now; empty if not leader.
+    // Learners that can be promoted now; empty if this member is not the leader.
     std::set<state::VmId> caughtUpLearners(state::Instant now) const;
 
 private:
@@ -67,8 +72,8 @@
         std::uint64_t index = 0;
         MemberSet members;
     };
-    // A write on its way to the disk. Invariant: `last` is the end of what the write left in the
-    // log, lowered when a later write cuts below it.
+    // A write that is not yet synced. Invariant: `last` is the last log index that the write
+    // covers; a later truncation below it lowers it.
     struct Write
     {
         std::uint64_t sequence = 0;
@@ -89,7 +94,7 @@
     {
         Read read;
         state::Instant arrived;
-        std::optional<std::uint64_t> index; // committed when leadership was confirmed
+        std::optional<std::uint64_t> index; // commit index when leadership was confirmed
     };
     struct IncomingSnapshot
     {
@@ -131,13 +136,14 @@
 
     // Replication.cpp
     void heartbeat();
-    void sendAppend(const state::VmId &peer, Progress &progress, bool evenIfEmpty);
+    void sendAppend(const state::VmId &peer, Progress &peerProgress, bool evenIfEmpty);
     void sendNewEntries();
     void handle(const state::VmId &from, const AppendResponse &response);
-    // Where the peer stands, if this leads in the term of its answer; steps down for a higher one.
+    // Returns the peer's progress if this member leads in the response's term, otherwise nullptr.
+    // Steps down if the response's term is higher.
     Progress *answering(const state::VmId &from, std::uint64_t term, SendStamp stamp);
-    void noteAnswer(Progress &progress, SendStamp stamp);
-    void onRefused(const state::VmId &from, Progress &progress, const AppendResponse &response);
+    void noteAnswer(Progress &peerProgress, SendStamp stamp);
+    void onRefused(const state::VmId &from, Progress &peerProgress, const AppendResponse &response);
     void advanceCommit();
     void establish();
     std::optional<state::Instant> quorumAcked() const;
@@ -151,8 +157,8 @@
     void hearLeader(const state::VmId &from, std::uint64_t term);
 
     // SnapshotTransfer.cpp
-    void sendSnapshotPiece(const state::VmId &peer, Progress &progress);
-    void handle(const state::VmId &from, const SnapshotPiece &piece);
+    void sendSnapshotPiece(const state::VmId &peer, Progress &peerProgress);
+    void handle(const state::VmId &from, const SnapshotPiece &chunk);
     void handle(const state::VmId &from, const SnapshotResponse &response);
     void installSnapshot(IncomingSnapshot complete, const MemberSet &members);
 
@@ -169,40 +175,41 @@
     state::VmId self;
     std::mt19937_64 random;
     state::Instant now;
-    Actions actions; // of the step under way
+    Actions actions; // of the current step
 
-    state::log::HardState hardState; // as in memory; synced once its write is
+    state::log::HardState hardState; // in memory; durable once its write is synced
     MemoryLog log;
-    SnapshotPointer latestSnapshot;           // last.index >= log start
-    std::deque<Configuration> configurations; // of the log, oldest first, never empty
+    SnapshotPointer latestSnapshot;           // last.index >= log start index
+    std::deque<Configuration> configurations; // in the log, oldest first, never empty
     std::uint64_t commit = 0;
     std::uint64_t applied = 0;      // <= commit, <= persisted
-    std::uint64_t persisted = 0;    // last log index synced here
-    SnapshotPointer pendingRestore; // received; applied once it is synced
+    std::uint64_t persisted = 0;    // last log index synced on this member
+    SnapshotPointer pendingRestore; // received snapshot; restored once synced
     bool snapshotAsked = false;
 
     std::uint64_t issuedSequence = 0;
     std::uint64_t doneSequence = 0;
-    std::deque<Write> writes;           // by sequence, all above doneSequence
-    std::deque<HeldMessage> held;       // by sequence
-    std::vector<Message> unsentAnswers; // of this step; held if the step or an earlier one writes
+    std::deque<Write> writes;     // by sequence, all above persistedSequence
+    std::deque<HeldMessage> held; // by sequence
+    // Messages of this step that are held until all writes issued so far are synced.
+    std::vector<Message> unsentAnswers;
 
     Role role = Role::Follower;
     state::VmId leader; // of the current term, empty if unknown
-    // When this member last heard a leader, or started: what it promised before a crash is
-    // forgotten, so it keeps the longest promise it can have made.
+    // Last contact with a leader, or startup. A crash loses the time of the last contact, so a
+    // restarted member assumes the latest one possible and withholds its vote that long.
     state::Instant leaderHeard;
     state::Instant electionDue;
     std::set<state::VmId> votes;
-    std::uint64_t ownVoteSequence = 0; // own vote counts once this is synced
+    std::uint64_t ownVoteSequence = 0; // the vote for itself counts once this write is synced
     std::optional<IncomingSnapshot> incoming;
 
     // Leader only.
-    std::map<state::VmId, Progress> progress; // every member but this one
+    std::map<state::VmId, Progress> progress; // every other member
     state::Instant electedAt;
     state::Instant nextHeartbeat;
-    std::uint64_t firstOwnIndex = 0;     // of the entry with which this term began
-    bool established = false;            // that entry is committed and applied
+    std::uint64_t firstOwnIndex = 0;     // of the no-op entry that starts this term
+    bool established = false;            // the entry at termStartIndex is committed and applied
     std::deque<PendingProposal> pending; // by index
     std::deque<WaitingRead> waitingReads;
 };
--- a/src/coordination/consensus/Election.cpp
+++ b/src/coordination/consensus/Election.cpp
@@ -1,4 +1,4 @@
-// Pre-vote, votes and terms.
+// Pre-vote, elections and term changes.
 #include "coordination/consensus/Consensus.h"
 
 #include <algorithm>
@@ -8,8 +8,8 @@
 using state::log::LogEntry;
 using state::log::LogEntryKind;
 
-// The other half of the leader's lease: while this holds, this member helps nobody to a new term.
-// Without it a leader could be elected beside one that still answers reads from its old state.
+// The voter's side of the leader lease: while this returns true, this member grants no vote.
+// Otherwise a new leader could be elected while the old one still answers reads from stale state.
 bool Consensus::hearsLeader() const
 {
     if (this->role == Role::Leader)
@@ -19,13 +19,13 @@
 
 void Consensus::resetElectionTimer()
 {
-    std::uniform_int_distribution<std::int64_t> spread(0, this->settings.electionTimeout.count());
+    std::uniform_int_distribution<std::int64_t> jitter(0, this->settings.electionTimeout.count());
     this->electionDue =
-            this->now + this->settings.electionTimeout + state::Duration(spread(this->random));
+            this->now + this->settings.electionTimeout + state::Duration(jitter(this->random));
 }
 
-// A member that was cut off asks first whether it would win. Its term stays as it is until then, so
-// that its return does not depose a leader that everybody else hears.
+// Asks whether an election could be won before it increments the term. A member that returns from a
+// partition therefore does not depose a leader that all others can reach.
 void Consensus::startPreVote()
 {
     this->role = Role::PreCandidate;
@@ -85,7 +85,7 @@
     this->leader = newLeader;
     this->established = false;
     this->progress.clear();
-    this->incoming.reset(); // another leader's snapshot of the same place may be other bytes
+    this->incoming.reset(); // another leader's snapshot at the same position may differ in bytes
 }
 
 void Consensus::becomeLeader()
@@ -96,7 +96,7 @@
     this->electedAt = this->now;
     this->progress.clear();
     this->syncProgress();
-    // Entries of earlier terms are committed only by one of this term on top of them.
+    // Entries of earlier terms are committed only indirectly, by an entry of this term after them.
     this->firstOwnIndex = this->log.last().index + 1;
     this->appendEntry(
             LogEntry{{this->hardState.currentTerm, this->firstOwnIndex}, LogEntryKind::Noop, {}});
@@ -107,9 +107,9 @@
 {
     if (this->hearsLeader())
         return;
-    const bool newEnough = request.last >= this->log.last();
+    const bool logUpToDate = request.last >= this->log.last();
     if (request.preVote) {
-        const bool granted = request.term > this->hardState.currentTerm && newEnough;
+        const bool granted = request.term > this->hardState.currentTerm && logUpToDate;
         const std::uint64_t term = granted ? request.term : this->hardState.currentTerm;
         this->sendWhenPersisted(from, VoteResponse{term, true, granted});
         return;
@@ -117,7 +117,7 @@
     if (request.term > this->hardState.currentTerm)
         this->becomeFollower(request.term, {});
     const std::string &votedFor = this->hardState.votedFor;
-    const bool granted = request.term == this->hardState.currentTerm && newEnough
+    const bool granted = request.term == this->hardState.currentTerm && logUpToDate
                          && this->role == Role::Follower
                          && (votedFor.empty() || votedFor == from.value());
     if (granted) {
@@ -136,10 +136,10 @@
             this->becomeFollower(response.term, {});
         return;
     }
-    const bool ours = response.preVote
-                              ? this->role == Role::PreCandidate && response.term == current + 1
-                              : this->role == Role::Candidate && response.term == current;
-    if (!ours)
+    const bool isCurrent =
+            response.preVote ? this->role == Role::PreCandidate && response.term == current + 1
+                             : this->role == Role::Candidate && response.term == current;
+    if (!isCurrent)
         return;
     this->votes.insert(from);
     this->countVotes();
--- a/src/coordination/consensus/Events.h
+++ b/src/coordination/consensus/Events.h
@@ -1,4 +1,4 @@
-// What happens to the consensus machine, and what it asks of its driver.
+// Input events of the consensus state machine, and the actions that its driver carries out.
 #pragma once
 
 #include "coordination/consensus/Members.h"
@@ -17,7 +17,7 @@
 namespace lavenderthread::coordination::consensus {
 
 using SnapshotPointer = std::shared_ptr<const state::log::LogSnapshot>;
-using ProposalId = std::uint64_t; // the driver's own; unique while the proposal waits
+using ProposalId = std::uint64_t; // chosen by the driver; unique while the proposal is pending
 using ReadId = std::uint64_t;
 
 struct Tick
@@ -36,7 +36,7 @@
     std::string payload;
 };
 
-// Several at once make one batch: one write and one message to each member.
+// Proposals of one event form a batch: one write and one message to each member.
 struct Propose
 {
     std::vector<Proposal> proposals;
@@ -48,8 +48,8 @@
     MemberChange change;
 };
 
-// Lease: answered without a message while the lease holds. Round: waits for a quorum's answer to a
-// heartbeat sent after the read arrived, and so does not rest on clocks.
+// Lease: answered without a message while the lease holds. QuorumRound: waits until a quorum
+// answers a heartbeat sent after the read arrived, and so does not depend on clocks.
 enum class ReadKind : std::uint8_t { Lease, Round };
 
 struct Read
@@ -58,20 +58,20 @@
     ReadKind kind = ReadKind::Lease;
 };
 
-// All writes up to this sequence are on the disk and synced.
+// All writes up to this sequence number are synced to disk.
 struct Persisted
 {
     std::uint64_t sequence = 0;
 };
 
-// A write or sync failed. What is on the disk is unknown, so the member answers nothing any more
-// until it is started again from what the disk holds.
+// A write or sync failed. The content of the disk is unknown, so the member stops answering until
+// it is restarted from its stored state.
 struct PersistFailed
 {
     state::Error error;
 };
 
-// The driver has stored a snapshot that SnapshotWanted asked for.
+// The driver has stored the snapshot requested by SnapshotRequest.
 struct SnapshotTaken
 {
     SnapshotPointer snapshot;
@@ -82,22 +82,22 @@
 
 enum class ProposalOutcome : std::uint8_t {
     Committed,      // durable on a quorum and applied here
-    LeadershipLost, // unknown: it may still be committed by the next leader
-    NotLeader,      // not in the log; `leader` may tell where to go
-    Refused,        // not in the log; `error` tells why
+    LeadershipLost, // outcome unknown: the next leader may still commit it
+    NotLeader,      // not in the log; `leader` is the current leader if known
+    Refused,        // not in the log; `error` gives the reason
 };
 
 struct ProposalAnswer
 {
     ProposalId id = 0;
     ProposalOutcome outcome = ProposalOutcome::NotLeader;
-    state::log::LogPosition position;  // of Committed
-    std::optional<Member> leader;      // of NotLeader and LeadershipLost, if known
-    std::optional<state::Error> error; // of Refused
+    state::log::LogPosition position;  // for Committed
+    std::optional<Member> leader;      // for NotLeader and LeadershipLost, if known
+    std::optional<state::Error> error; // for Refused
 };
 
-// The state applied up to `index` when the answer is handed out holds every change acknowledged
-// before the read was asked. Not confirmed: ask `leader`, or again if there is none.
+// When the answer is delivered, the state applied up to `index` contains every change acknowledged
+// before the read was requested. If not confirmed: retry at `leader`, or here if there is none.
 struct ReadAnswer
 {
     ReadId id = 0;
@@ -108,34 +108,40 @@
 
 enum class Role : std::uint8_t { Follower, PreCandidate, Candidate, Leader, Stopped };
 
-// Told when a member becomes able to act as leader (its first entry is committed, so its state is
-// the newest), when it stops being one, and when it stops for good.
+// Emitted when a member becomes able to act as leader (the first entry of its term is committed, so
+// its state is up to date), when it loses leadership, and when it stops permanently.
 struct RoleChange
 {
     Role role = Role::Follower;      // Follower, Leader or Stopped
-    state::log::LogPosition fencing; // of Leader: older than every order it will give
-    // Of Leader: orders to endpoints that ignore fencing wait until here. The voters waited out the
-    // old lease already; this also covers an order that was under way when that lease ended.
+    state::log::LogPosition fencing; // for Leader: below the position of every order it will issue
+    // For Leader: orders to endpoints that ignore fencing are delayed until this time. The voters
+    // have already waited for the old lease to end; the delay also covers an order that was in
+    // flight at that moment.
     state::Instant ordersFrom;
-    std::optional<state::Error> error; // of Stopped
+    std::optional<state::Error> error; // for Stopped
 };
 
-// The state applied so far should be stored as a snapshot and given back by SnapshotTaken.
+// Asks the driver to store the state applied so far as a snapshot and to return it in
+// SnapshotTaken.
 struct SnapshotWanted
 {
     state::log::LogPosition last;
     std::string configuration;
 };
 
-// The driver, in this order: starts to write and sync hardState, snapshot and entries if
-// persistSequence is not 0, and gives Persisted back when all are synced (later writes may wait and
-// share a sync); sends messages; restores, then applies committed; then hands out the answers.
+// The driver performs these in order:
+// 1. If persistSequence is not 0, starts to write and sync hardState, snapshot and entries, and
+//    reports Persisted when all are synced (later writes may wait and share a sync).
+// 2. Sends messages.
+// 3. Restores `restore`, then applies `committed`.
+// 4. Delivers answers and reads.
 struct Actions
 {
     std::uint64_t persistSequence = 0;
     std::optional<state::log::HardState> hardState;
-    SnapshotPointer snapshot;                  // received from the leader; replaces the whole log
-    std::vector<state::log::LogEntry> entries; // replace all stored ones from the first one's index
+    SnapshotPointer snapshot; // received from the leader; replaces the whole log
+    // Replace all stored entries from the first one's index.
+    std::vector<state::log::LogEntry> entries;
 
     std::vector<Message> messages;
 
--- a/src/coordination/consensus/Following.cpp
+++ b/src/coordination/consensus/Following.cpp
@@ -1,4 +1,4 @@
-// A member that hears a leader: it stores what the leader sends and says so once it is synced.
+// Follower: stores the entries that the leader sends and acknowledges them once they are synced.
 #include "coordination/consensus/Consensus.h"
 
 #include <algorithm>
@@ -24,10 +24,10 @@
         return;
     }
     if (request.term == current && this->role == Role::Leader)
-        return; // a term has one leader; this is a forged or misdirected message
+        return; // a term has only one leader: the message is forged or misdirected
     this->hearLeader(from, request.term);
     if (request.previous.index < this->log.beginning().index) {
-        // What stood there is in the snapshot, so it is committed and agrees with any leader.
+        // The snapshot covers this position, so it is committed and matches every leader's log.
         this->sendWhenPersisted(from, AppendResponse{request.term, true,
                                                      this->log.beginning().index, request.stamp});
         return;
@@ -54,16 +54,19 @@
     for (const LogEntry &entry : request.entries) {
         ++index;
         if (entry.position.index != index || entry.position.term > request.term) {
-            this->halt(state::makeError(state::ErrorCode::Corrupt, "consensus.append",
-                                        "entries out of order at " + std::to_string(index),
-                                        this->leader.value()));
+            this->halt(state::makeError(
+                    state::ErrorCode::Corrupt, "consensus.append",
+                    "append request has entries out of order or of a later term at index "
+                            + std::to_string(index),
+                    this->leader.value()));
             return;
         }
         if (this->log.contains(entry.position))
             continue;
         if (index <= this->commit) {
             this->halt(state::makeError(state::ErrorCode::Corrupt, "consensus.append",
-                                        "would replace committed entry " + std::to_string(index),
+                                        "append request would replace the committed entry "
+                                                + std::to_string(index),
                                         this->leader.value()));
             return;
         }
@@ -75,8 +78,8 @@
     }
 }
 
-// Where the leader should try next: the end of this log, or before the whole term that differs, so
-// that a long stale tail costs one round trip a term and not one an entry.
+// The index the leader should try next: the end of this log, or the entry before the conflicting
+// term, so that a long stale tail costs one round trip per term instead of one per entry.
 std::uint64_t Consensus::matchHint(const LogPosition &previous) const
 {
     const std::optional<std::uint64_t> term = this->log.termAt(previous.index);
--- a/src/coordination/consensus/MemberPlan.cpp
+++ b/src/coordination/consensus/MemberPlan.cpp
@@ -1,4 +1,4 @@
-// Keeps the live members, adds newcomers up to the wanted number, drops those that are gone.
+// Keeps live members, adds new ones up to the wanted number and removes those that are gone.
 #include "coordination/consensus/MemberPlan.h"
 
 #include <algorithm>
@@ -23,9 +23,9 @@
         return false;
     }
     const state::Instant since = this->awaySince.emplace(member.id, now).first->second;
-    const bool succeeded = std::ranges::any_of(
+    const bool addressTaken = std::ranges::any_of(
             live, [&](const Candidate &candidate) { return candidate.address == member.address; });
-    return succeeded || now - since >= this->settings.replaceAfter;
+    return addressTaken || now - since >= this->settings.replaceAfter;
 }
 
 MemberSet MemberPlan::target(const MemberSet &current, const std::vector<Candidate> &live,
@@ -33,14 +33,14 @@
 {
     std::vector<Member> wanted;
     std::vector<Member> away;
-    std::size_t waitedFor = 0;
+    std::size_t temporarilyAway = 0;
     for (const Member &member : current.all()) {
         const bool isLive = findById(live, member.id) != nullptr;
         if (this->isGone(member, live, now)) {
             away.push_back(member);
             continue;
         }
-        waitedFor += isLive ? 0 : 1;
+        temporarilyAway += isLive ? 0 : 1;
         wanted.push_back({member.id, member.address, MemberRole::Voter});
     }
     for (const Candidate &candidate : live) {
@@ -49,10 +49,10 @@
         if (current.find(candidate.id) == nullptr)
             wanted.push_back({candidate.id, candidate.address, MemberRole::Voter});
     }
-    // Without enough live ones a member that is away keeps its place: it holds a copy, and dropping
-    // it would let fewer disks decide.
+    // Without enough live members, a member that is away stays in the set: it holds a copy, and
+    // removing it would let a quorum of fewer disks decide.
     for (const Member &member : away) {
-        if (wanted.size() - waitedFor >= this->settings.wantedVoters)
+        if (wanted.size() - temporarilyAway >= this->settings.wantedVoters)
             break;
         wanted.push_back({member.id, member.address, member.role});
     }
--- a/src/coordination/consensus/MemberPlan.h
+++ b/src/coordination/consensus/MemberPlan.h
@@ -1,5 +1,5 @@
-// Which control members the cluster should have, from those that live: a machine that is replaced
-// or comes back with an empty disk takes its place again without an operator.
+// Chooses the control members of the cluster from the processes that are alive. A VM that is
+// replaced or returns with an empty disk becomes a member again without an operator.
 #pragma once
 
 #include "coordination/consensus/Members.h"
@@ -10,10 +10,10 @@
 
 namespace lavenderthread::coordination::consensus {
 
-// A process with a data folder that membership knows to be alive.
+// A process with a data folder that membership reports as alive.
 struct Candidate
 {
-    state::VmId id; // of its data folder
+    state::VmId id; // stored in its data folder
     state::Address address;
 
     auto operator<=>(const Candidate &) const = default;
@@ -21,13 +21,13 @@
 
 struct MemberPlanSettings
 {
-    std::size_t wantedVoters = 3; // 2 f + 1 for f losses at once
-    // A member that is away for less is waited for: restarts and short partitions end before it,
-    // and copying the state to a newcomer costs more than waiting.
+    std::size_t wantedVoters = 3; // 2 f + 1 to survive f simultaneous losses
+    // A member that is away for less than this is not replaced: restarts and short partitions end
+    // earlier, and copying the state to a new member costs more than waiting.
     state::Duration replaceAfter = std::chrono::seconds(4);
 };
 
-// Used by the leader; it starts anew with each term.
+// Used by the leader. A new plan without history starts with each term.
 class MemberPlan
 {
 public:
@@ -35,9 +35,10 @@
         : settings(chosen)
     {}
 
-    // The set to move to, one change at a time. Live members stay. A member that is away is dropped
-    // only when enough others live, or when another identity lives at its address: its disk is gone
-    // for good then, and until it leaves the set it counts against every quorum.
+    // The member set to reach by single changes. Live members stay. A member that is away is
+    // removed only if enough others are alive: after replaceAfter, or at once if another identity
+    // is alive at its address. Its disk is then lost for good, and until its removal it counts
+    // against every quorum.
     MemberSet target(const MemberSet &current, const std::vector<Candidate> &live,
                      state::Instant now);
 
--- a/src/coordination/consensus/Members.cpp
+++ b/src/coordination/consensus/Members.cpp
@@ -1,4 +1,4 @@
-// Text form of a member set and the one-at-a-time rules.
+// Text encoding of a member set and the rules for single-member changes.
 #include "coordination/consensus/Members.h"
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 constexpr std::string_view voterWord = "voter";
 constexpr std::string_view learnerWord = "learner";
 
-bool hasBlank(const std::string &text)
+bool hasWhitespace(const std::string &text)
 {
     return text.find_first_of(" \t\r\n") != std::string::npos;
 }
@@ -44,7 +44,7 @@
     std::sort(members.begin(), members.end());
     for (std::size_t index = 0; index < members.size(); ++index) {
         const std::string &id = members[index].id.value();
-        if (id.empty() || hasBlank(id))
+        if (id.empty() || hasWhitespace(id))
             return makeError(ErrorCode::InvalidArgument, "members.create", "bad id: " + id);
         if (index > 0 && members[index - 1].id == members[index].id)
             return makeError(ErrorCode::InvalidArgument, "members.create", "id twice: " + id);
@@ -115,23 +115,23 @@
     }
     if (present == nullptr)
         return makeError(ErrorCode::NotFound, "members.change", "not a member: " + id);
-    const auto place = next.begin() + (present - this->members.data());
+    const auto position = next.begin() + (present - this->members.data());
     if (change.kind == MemberChangeKind::Promote) {
         if (present->role == MemberRole::Voter)
             return makeError(ErrorCode::AlreadyExists, "members.change", "votes already: " + id);
-        place->role = MemberRole::Voter;
+        position->role = MemberRole::Voter;
         return create(std::move(next));
     }
     if (present->role == MemberRole::Voter && this->voterCount() == 1)
         return makeError(ErrorCode::Conflict, "members.change", "the last voter can't leave");
-    next.erase(place);
+    next.erase(position);
     return create(std::move(next));
 }
 
 std::optional<MemberChange> nextMemberChange(const MemberSet &current, const MemberSet &target,
                                              const std::set<state::VmId> &caughtUp)
 {
-    bool complete = true;
+    bool allVoting = true;
     for (const Member &wanted : target.all()) {
         const Member *present = current.find(wanted.id);
         if (present == nullptr)
@@ -140,9 +140,9 @@
             continue;
         if (caughtUp.contains(wanted.id))
             return MemberChange{MemberChangeKind::Promote, wanted};
-        complete = false;
+        allVoting = false;
     }
-    if (!complete)
+    if (!allVoting)
         return std::nullopt;
     for (const Member &present : current.all()) {
         if (target.find(present.id) == nullptr)
--- a/src/coordination/consensus/Members.h
+++ b/src/coordination/consensus/Members.h
@@ -1,5 +1,5 @@
-// The set of control members that a log entry of kind Configuration carries, and the rules by which
-// one set may follow another: one member at a time, so that quorums of neighbouring sets overlap.
+// The set of control members that a log entry of kind Configuration carries, and the rules for
+// changing it: one member at a time, so that the quorums of successive sets overlap.
 #pragma once
 
 #include "state/Address.h"
@@ -16,12 +16,12 @@
 
 namespace lavenderthread::coordination::consensus {
 
-// A learner receives the log and counts in no quorum.
+// A learner receives the log but does not count towards a quorum.
 enum class MemberRole : std::uint8_t { Learner, Voter };
 
 struct Member
 {
-    state::VmId id; // names one disk: a member whose disk is lost comes back under a new id
+    state::VmId id; // identifies one disk: a member that lost its disk returns with a new id
     state::Address address;
     MemberRole role = MemberRole::Learner;
 
@@ -33,13 +33,13 @@
 struct MemberChange
 {
     MemberChangeKind kind = MemberChangeKind::AddLearner;
-    Member member; // address is read for AddLearner only
+    Member member; // address is used for AddLearner only
 
     auto operator<=>(const MemberChange &) const = default;
 };
 
-// Invariant: ordered by id, ids unique, non-empty and free of blanks. An empty set is what a member
-// knows before its first contact; it never campaigns.
+// Invariant: ordered by id; ids are unique, non-empty and contain no whitespace. A member has an
+// empty set until its first contact with the cluster and never campaigns with it.
 class MemberSet
 {
 public:
@@ -47,7 +47,7 @@
 
     // Error: InvalidArgument, step "members.create".
     static state::Result<MemberSet> create(std::vector<Member> members);
-    // One line a member: "voter ID IP:PORT". Error: Corrupt, step "members.decode".
+    // One line per member: "voter ID IP:PORT". Error: Corrupt, step "members.decode".
     static state::Result<MemberSet> decode(std::string_view text);
     std::string encode() const;
 
@@ -68,7 +68,7 @@
 
 constexpr std::size_t maximumMembers = 32;
 
-// The highest value that a quorum of voters has reached; `valueOf(id)` gives a voter's value.
+// The highest value that a quorum of voters has reached; `valueOf(id)` returns a voter's value.
 template <typename Value, typename ValueOf>
 Value quorumValue(const MemberSet &members, ValueOf valueOf)
 {
@@ -82,9 +82,9 @@
     return *std::next(values.begin(), static_cast<std::ptrdiff_t>(members.quorum() - 1));
 }
 
-// The next single step from `current` towards `target`, nothing if there is none yet. Newcomers
-// enter as learners, vote once `caughtUp`, and who must go leaves last: a repair never lowers the
-// number of disks that hold a committed entry before its replacement holds it too.
+// The next single change from `current` towards `target`; empty if there is none yet. New members
+// join as learners, are promoted once in `caughtUp`, and removals come last. A repair thus never
+// lowers the number of disks that hold a committed entry before the replacement holds it too.
 std::optional<MemberChange> nextMemberChange(const MemberSet &current, const MemberSet &target,
                                              const std::set<state::VmId> &caughtUp);
 
--- a/src/coordination/consensus/MemoryLog.cpp
+++ b/src/coordination/consensus/MemoryLog.cpp
@@ -1,4 +1,4 @@
-// Index arithmetic of the log in memory.
+// Index arithmetic of the in-memory log.
 #include "coordination/consensus/MemoryLog.h"
 
 #include <utility>
--- a/src/coordination/consensus/Messages.h
+++ b/src/coordination/consensus/Messages.h
@@ -1,4 +1,4 @@
-// What members of the consensus say to each other.
+// Messages between consensus members.
 #pragma once
 
 #include "state/Ids.h"
@@ -12,15 +12,15 @@
 
 namespace lavenderthread::coordination::consensus {
 
-// The sender's own clock in microseconds when it sent the request. The answer carries it back, so
-// that the leader's lease counts from the sending, however late the answer comes.
+// The sender's clock in microseconds at which it sent the request. The response echoes it, so that
+// the leader's lease counts from the send time, however late the response arrives.
 using SendStamp = std::int64_t;
 
 struct VoteRequest
 {
-    std::uint64_t term = 0; // the term to be voted in
+    std::uint64_t term = 0; // the term of the election
     state::log::LogPosition last;
-    bool preVote = false; // "would you?"; changes no state of the asked
+    bool preVote = false; // asks whether the receiver would vote; changes no state of it
 
     auto operator<=>(const VoteRequest &) const = default;
 
@@ -33,7 +33,7 @@
 
 struct VoteResponse
 {
-    std::uint64_t term = 0; // as asked if granted; otherwise the current term of the asked
+    std::uint64_t term = 0; // the requested term if granted, otherwise the voter's current term
     bool preVote = false;
     bool granted = false;
 
@@ -46,11 +46,11 @@
     }
 };
 
-// Heartbeat as well; then without entries.
+// Serves as the heartbeat too, then possibly without entries.
 struct AppendRequest
 {
     std::uint64_t term = 0;
-    state::log::LogPosition previous; // of the entry before `entries`
+    state::log::LogPosition previous; // position of the entry before `entries`
     std::uint64_t commitIndex = 0;
     SendStamp stamp = 0;
     std::vector<state::log::LogEntry> entries; // contiguous
@@ -68,7 +68,7 @@
 {
     std::uint64_t term = 0;
     bool accepted = false;
-    std::uint64_t index = 0; // accepted: synced up to here; otherwise: where a match may be
+    std::uint64_t index = 0; // accepted: last matching index, synced; otherwise: index to try next
     SendStamp stamp = 0;
 
     auto operator<=>(const AppendResponse &) const = default;
@@ -105,7 +105,7 @@
     std::uint64_t term = 0;
     state::log::LogPosition last;
     std::uint64_t nextOffset = 0;
-    bool installed = false; // synced, or not needed any more
+    bool installed = false; // synced, or no longer needed
     SendStamp stamp = 0;
 
     auto operator<=>(const SnapshotResponse &) const = default;
@@ -123,7 +123,7 @@
 struct Message
 {
     state::VmId from;
-    state::VmId to; // another identity at the same address drops it
+    state::VmId to; // a process with another id at the same address drops the message
     MessageBody body;
 
     auto operator<=>(const Message &) const = default;
--- a/src/coordination/consensus/Progress.h
+++ b/src/coordination/consensus/Progress.h
@@ -1,4 +1,4 @@
-// What a leader knows of one other member.
+// Replication state that a leader keeps for one other member.
 #pragma once
 
 #include "coordination/consensus/Events.h"
@@ -10,24 +10,25 @@
 namespace lavenderthread::coordination::consensus {
 
 enum class ProgressMode : std::uint8_t {
-    Replicate, // appends go out without waiting for answers, up to maximumInFlightEntries
-    Probe,     // an append was refused: one at a time until one is accepted
-    Snapshot,  // the entries it needs are compacted: pieces go out one at a time
+    Replicate, // appends are pipelined without waiting, up to maximumInFlightEntries
+    Probe,     // an append was rejected: one at a time until one is accepted
+    Snapshot,  // the entries it needs are compacted: chunks are sent one at a time
 };
 
 struct Progress
 {
     ProgressMode mode = ProgressMode::Replicate;
-    std::uint64_t match = 0; // synced there up to here; never goes back within a term
-    std::uint64_t next = 1;  // sent next; always above match
-    // When the present probe or piece was first sent. Refusals of anything sent earlier are
-    // ignored, or each of many refused appends would start a transfer of its own. Sending again
-    // keeps it: a round trip longer than a heartbeat must not make every answer too old.
+    std::uint64_t match = 0; // last index known to be synced there; never decreases within a term
+    std::uint64_t next = 1;  // next index to send; always above match
+    // When the current probe or chunk was first sent. Rejections of earlier requests are ignored;
+    // otherwise each of many rejected appends would start its own transfer. A retransmission does
+    // not change it: with a round trip longer than a heartbeat interval, every response would
+    // otherwise count as too old.
     SendStamp waitingFor = 0;
-    state::Instant pieceSent;            // last sending of the present piece
-    std::optional<state::Instant> acked; // sending time of the newest request that it answered
+    state::Instant pieceSent;            // last transmission of the current chunk
+    std::optional<state::Instant> acked; // send time of the newest answered request
 
-    SnapshotPointer snapshot; // kept until it is there, also when a newer one is taken
+    SnapshotPointer snapshot; // kept until the transfer ends, even if a newer one exists
     std::uint64_t snapshotOffset = 0;
 };
 
--- a/src/coordination/consensus/Proposals.cpp
+++ b/src/coordination/consensus/Proposals.cpp
@@ -1,4 +1,4 @@
-// What callers ask of the leader: changes, reads, members.
+// Client requests to the leader: proposals, reads and member changes.
 #include "coordination/consensus/Consensus.h"
 
 #include <utility>
@@ -10,7 +10,8 @@
 using state::log::LogEntry;
 using state::log::LogEntryKind;
 
-// Why nothing may be proposed now. Certain: what is refused here never enters the log.
+// Returns the answer to a proposal that can't be accepted now, or empty if it can. A proposal that
+// is refused here is guaranteed not to enter the log.
 std::optional<ProposalAnswer> Consensus::refusal(ProposalId id) const
 {
     ProposalAnswer answer{.id = id};
@@ -78,16 +79,16 @@
     const auto refuse = [](const char *cause) {
         return makeError(ErrorCode::Conflict, "consensus.members", cause);
     };
-    // Two sets that differ by more than one member may have quorums without a common member, and
-    // so two leaders. An own entry must be committed first, or a change left by a deposed leader
-    // could still come between this set and the one before it.
+    // Member sets that differ by more than one member may have disjoint quorums, and thus two
+    // leaders. An entry of this term must be committed first; otherwise a change left by a deposed
+    // leader could still come between this set and the previous one.
     if (!this->established || this->configurations.back().index > this->commit)
         return refuse("another change is under way");
     BOOST_OUTCOME_TRY(MemberSet next, this->members().withChange(change));
     if (change.kind == MemberChangeKind::Promote
         && !this->caughtUpLearners(this->now).contains(change.member.id))
         return refuse("the learner is not caught up");
-    // A set whose quorum does not answer could commit nothing, its own repair included.
+    // A member set without a responsive quorum could commit nothing, not even its own repair.
     if (!this->quorumAnswersSince(this->now - this->settings.electionTimeout, next))
         return refuse("too few of the remaining voters answer");
     return next;
@@ -96,9 +97,10 @@
 std::set<state::VmId> Consensus::caughtUpLearners(state::Instant at) const
 {
     std::set<state::VmId> found;
-    for (const auto &[id, known] : this->progress) {
-        const bool answers = known.acked && *known.acked + this->settings.electionTimeout >= at;
-        if (!this->members().isVoter(id) && answers && known.match >= this->commit)
+    for (const auto &[id, peerProgress] : this->progress) {
+        const bool answers =
+                peerProgress.acked && *peerProgress.acked + this->settings.electionTimeout >= at;
+        if (!this->members().isVoter(id) && answers && peerProgress.match >= this->commit)
             found.insert(id);
     }
     return found;
@@ -116,8 +118,9 @@
         this->heartbeat();
 }
 
-// Hands out what is committed, applied and covered by the lease. A deposed leader may still receive
-// late answers that commit an entry; without the lease it leaves telling so to its successor.
+// Answers proposals that are committed and applied while the lease holds, and reads whose
+// leadership check succeeded. A deposed leader may still receive late responses that commit an
+// entry; without the lease it does not acknowledge the entry and leaves that to its successor.
 void Consensus::answerReady()
 {
     if (this->role != Role::Leader || !this->established)
@@ -131,18 +134,18 @@
         this->pending.pop_front();
     }
     const std::optional<state::Instant> acked = this->quorumAcked();
-    std::deque<WaitingRead> still;
+    std::deque<WaitingRead> remaining;
     for (WaitingRead waiting : this->waitingReads) {
-        const bool round = acked && *acked >= waiting.arrived;
-        const bool confirmed = waiting.read.kind == ReadKind::Lease ? lease : round;
+        const bool acknowledged = acked && *acked >= waiting.arrived;
+        const bool confirmed = waiting.read.kind == ReadKind::Lease ? lease : acknowledged;
         if (confirmed && !waiting.index)
             waiting.index = this->commit;
         if (confirmed && this->applied >= *waiting.index)
             this->actions.reads.push_back({waiting.read.id, true, this->applied, std::nullopt});
         else
-            still.push_back(waiting);
+            remaining.push_back(waiting);
     }
-    this->waitingReads = std::move(still);
+    this->waitingReads = std::move(remaining);
 }
 
 void Consensus::abandonProposals()
--- a/src/coordination/consensus/Replication.cpp
+++ b/src/coordination/consensus/Replication.cpp
@@ -1,4 +1,4 @@
-// A leader: it sends the log, counts answers, commits and keeps its lease.
+// Leader: replicates the log, processes responses, advances the commit index and keeps the lease.
 #include "coordination/consensus/Consensus.h"
 
 #include <algorithm>
@@ -18,53 +18,55 @@
 void Consensus::heartbeat()
 {
     this->nextHeartbeat = this->now + this->settings.heartbeat;
-    for (auto &[peer, known] : this->progress)
-        this->sendAppend(peer, known, true);
+    for (auto &[peer, peerProgress] : this->progress)
+        this->sendAppend(peer, peerProgress, true);
 }
 
 void Consensus::sendNewEntries()
 {
-    for (auto &[peer, known] : this->progress) {
-        if (known.mode == ProgressMode::Replicate)
-            this->sendAppend(peer, known, false);
+    for (auto &[peer, peerProgress] : this->progress) {
+        if (peerProgress.mode == ProgressMode::Replicate)
+            this->sendAppend(peer, peerProgress, false);
     }
 }
 
-void Consensus::sendAppend(const state::VmId &peer, Progress &known, bool evenIfEmpty)
+void Consensus::sendAppend(const state::VmId &peer, Progress &peerProgress, bool evenIfEmpty)
 {
-    const bool compacted = known.next <= this->log.beginning().index;
-    if (compacted || known.mode == ProgressMode::Snapshot) {
-        const bool fresh = known.mode == ProgressMode::Snapshot
-                           && this->now < known.pieceSent + this->settings.heartbeat;
-        if (!fresh)
-            this->sendSnapshotPiece(peer, known);
+    const bool compacted = peerProgress.next <= this->log.beginning().index;
+    if (compacted || peerProgress.mode == ProgressMode::Snapshot) {
+        const bool recentlySent = peerProgress.mode == ProgressMode::Snapshot
+                                  && this->now < peerProgress.pieceSent + this->settings.heartbeat;
+        if (!recentlySent)
+            this->sendSnapshotPiece(peer, peerProgress);
         return;
     }
-    const std::uint64_t inFlight = known.next - 1 - known.match;
-    const std::size_t room = known.mode == ProgressMode::Probe ? this->settings.maximumBatchEntries
-                             : inFlight >= this->settings.maximumInFlightEntries
-                                     ? 0
-                                     : std::min(this->settings.maximumBatchEntries,
-                                                this->settings.maximumInFlightEntries - inFlight);
+    const std::uint64_t inFlight = peerProgress.next - 1 - peerProgress.match;
+    const std::size_t maximumEntries =
+            peerProgress.mode == ProgressMode::Probe ? this->settings.maximumBatchEntries
+            : inFlight >= this->settings.maximumInFlightEntries
+                    ? 0
+                    : std::min(this->settings.maximumBatchEntries,
+                               this->settings.maximumInFlightEntries - inFlight);
     AppendRequest request;
     request.term = this->hardState.currentTerm;
-    request.previous = {*this->log.termAt(known.next - 1), known.next - 1};
+    request.previous = {*this->log.termAt(peerProgress.next - 1), peerProgress.next - 1};
     request.commitIndex = this->commit;
     request.stamp = stampOf(this->now);
-    if (room > 0)
-        request.entries = this->log.slice(known.next, room, this->settings.maximumBatchBytes);
+    if (maximumEntries > 0)
+        request.entries = this->log.slice(peerProgress.next, maximumEntries,
+                                          this->settings.maximumBatchBytes);
     if (request.entries.empty() && !evenIfEmpty)
         return;
-    if (known.mode == ProgressMode::Replicate)
-        known.next += request.entries.size();
+    if (peerProgress.mode == ProgressMode::Replicate)
+        peerProgress.next += request.entries.size();
     this->send(peer, std::move(request));
 }
 
-void Consensus::noteAnswer(Progress &known, SendStamp stamp)
+void Consensus::noteAnswer(Progress &peerProgress, SendStamp stamp)
 {
     const state::Instant sent{state::Duration(stamp)};
-    if (sent <= this->now && (!known.acked || *known.acked < sent))
-        known.acked = sent;
+    if (sent <= this->now && (!peerProgress.acked || *peerProgress.acked < sent))
+        peerProgress.acked = sent;
 }
 
 Progress *Consensus::answering(const state::VmId &from, std::uint64_t term, SendStamp stamp)
@@ -83,43 +85,45 @@
 
 void Consensus::handle(const state::VmId &from, const AppendResponse &response)
 {
-    Progress *answering = this->answering(from, response.term, response.stamp);
-    if (answering == nullptr)
+    Progress *responder = this->answering(from, response.term, response.stamp);
+    if (responder == nullptr)
         return;
-    Progress &known = *answering;
+    Progress &peerProgress = *responder;
     if (!response.accepted) {
-        this->onRefused(from, known, response);
+        this->onRefused(from, peerProgress, response);
         return;
     }
     if (response.index > this->log.last().index)
         return;
-    known.match = std::max(known.match, response.index);
-    known.next = std::max(known.next, known.match + 1);
-    const bool reached = known.next > this->log.beginning().index;
-    if (known.mode == ProgressMode::Probe && response.stamp >= known.waitingFor) {
-        known.mode = ProgressMode::Replicate;
-        known.next = known.match + 1;
-    } else if (known.mode == ProgressMode::Snapshot && reached) {
-        known.mode = ProgressMode::Replicate;
-        known.snapshot = nullptr;
+    peerProgress.match = std::max(peerProgress.match, response.index);
+    peerProgress.next = std::max(peerProgress.next, peerProgress.match + 1);
+    const bool reached = peerProgress.next > this->log.beginning().index;
+    if (peerProgress.mode == ProgressMode::Probe && response.stamp >= peerProgress.waitingFor) {
+        peerProgress.mode = ProgressMode::Replicate;
+        peerProgress.next = peerProgress.match + 1;
+    } else if (peerProgress.mode == ProgressMode::Snapshot && reached) {
+        peerProgress.mode = ProgressMode::Replicate;
+        peerProgress.snapshot = nullptr;
     }
     this->advanceCommit();
     this->applyCommitted();
-    if (this->role == Role::Leader && known.mode == ProgressMode::Replicate)
-        this->sendAppend(from, known, false);
+    if (this->role == Role::Leader && peerProgress.mode == ProgressMode::Replicate)
+        this->sendAppend(from, peerProgress, false);
 }
 
-void Consensus::onRefused(const state::VmId &from, Progress &known, const AppendResponse &response)
+void Consensus::onRefused(const state::VmId &from, Progress &peerProgress,
+                          const AppendResponse &response)
 {
-    if (known.mode == ProgressMode::Snapshot || response.stamp < known.waitingFor)
+    if (peerProgress.mode == ProgressMode::Snapshot || response.stamp < peerProgress.waitingFor)
         return;
-    const std::uint64_t next = std::max(known.match + 1, std::min(known.next, response.index + 1));
-    if (known.mode == ProgressMode::Probe && next == known.next)
+    const std::uint64_t next =
+            std::max(peerProgress.match + 1, std::min(peerProgress.next, response.index + 1));
+    if (peerProgress.mode == ProgressMode::Probe && next == peerProgress.next)
         return;
-    known.next = next;
-    known.mode = ProgressMode::Probe;
-    known.waitingFor = stampOf(this->now);
-    this->sendAppend(from, known, true);
+    peerProgress.next = next;
+    peerProgress.mode = ProgressMode::Probe;
+    peerProgress.waitingFor = stampOf(this->now);
+    this->sendAppend(from, peerProgress, true);
 }
 
 void Consensus::advanceCommit()
@@ -131,7 +135,8 @@
         return found == this->progress.end() ? 0 : found->second.match;
     };
     const std::uint64_t reached = quorumValue<std::uint64_t>(this->members(), matchOf);
-    // An entry of an earlier term on a quorum can still be replaced; one of this term can't.
+    // An entry of an earlier term can still be replaced even if a quorum stores it; an entry of the
+    // current term can't.
     if (reached > this->commit && this->log.termAt(reached) == this->hardState.currentTerm)
         this->commit = reached;
 }
@@ -140,20 +145,21 @@
 {
     if (!this->established && this->applied >= this->firstOwnIndex) {
         this->established = true;
-        // Every order of this term gets the position of its own entry, which is above this one.
+        // Every order of this term carries the position of its own entry, which is above this one.
         this->actions.roleChange = RoleChange{Role::Leader,
                                               {this->hardState.currentTerm, this->firstOwnIndex},
                                               this->electedAt + this->settings.electionTimeout,
                                               std::nullopt};
     }
-    // Who leads without being a member any more stays until its removal is committed.
+    // A leader that is being removed stays leader until its removal is committed.
     if (this->established && this->committedMembers().find(this->self) == nullptr) {
         this->answerReady();
         this->becomeFollower(this->hardState.currentTerm, {});
     }
 }
 
-// The newest instant from which on a quorum is known to have heard this leader.
+// The latest send time such that a quorum has answered a request sent then or later; empty if there
+// is none or this member is not the leader.
 std::optional<state::Instant> Consensus::quorumAcked() const
 {
     if (this->role != Role::Leader)
@@ -163,8 +169,8 @@
         if (id == this->self)
             return stampOf(this->now);
         const auto found = this->progress.find(id);
-        const bool known = found != this->progress.end() && found->second.acked.has_value();
-        return known ? stampOf(*found->second.acked) : never;
+        const bool hasAck = found != this->progress.end() && found->second.acked.has_value();
+        return hasAck ? stampOf(*found->second.acked) : never;
     };
     const std::int64_t acked = quorumValue<std::int64_t>(this->members(), ackedOf);
     if (acked == never)
@@ -202,7 +208,7 @@
     return answering >= set.quorum();
 }
 
-// One Progress for every other member of the newest set.
+// Keeps one Progress for every other member of the newest member set.
 void Consensus::syncProgress()
 {
     std::map<state::VmId, Progress> next;
--- a/src/coordination/consensus/Settings.cpp
+++ b/src/coordination/consensus/Settings.cpp
@@ -1,4 +1,4 @@
-// Ranges of the settings, and the lease that follows from them.
+// Validation of the settings, and the lease derived from them.
 #include "coordination/consensus/Settings.h"
 
 namespace lavenderthread::coordination::consensus {
@@ -16,22 +16,24 @@
         return state::makeError(state::ErrorCode::InvalidArgument, "consensus.settings", cause);
     };
     if (this->heartbeat.count() <= 0)
-        return refuse("heartbeat must be above 0");
+        return refuse("heartbeatInterval must be above 0");
     if (this->electionTimeout < 3 * this->heartbeat)
-        return refuse("electionTimeout must be at least three heartbeats");
+        return refuse("electionTimeout must be at least 3 * heartbeatInterval");
     if (this->diskStall < this->electionTimeout)
-        return refuse("diskStall must be at least electionTimeout");
+        return refuse("diskStallTimeout must be at least electionTimeout");
     if (this->clockDriftPerMille > maximumDriftPerMille)
         return refuse("clockDriftPerMille must be at most 200");
     if (this->maximumBatchEntries == 0 || this->maximumBatchBytes == 0
         || this->maximumInFlightEntries < this->maximumBatchEntries)
-        return refuse("batch bounds must be above 0 and fit the entries in flight");
+        return refuse("maximumBatchEntries and maximumBatchBytes must be above 0, and "
+                      "maximumInFlightEntries at least maximumBatchEntries");
     if (this->maximumPayloadBytes == 0 || this->maximumPayloadBytes > this->maximumBatchBytes)
         return refuse("maximumPayloadBytes must be 1 to maximumBatchBytes");
     if (this->snapshotPieceBytes == 0 || this->compactionEntries <= this->trailingEntries)
-        return refuse("snapshot pieces must not be empty, compaction must exceed the trail");
+        return refuse(
+                "snapshotChunkBytes must be above 0, and compactionEntries above trailingEntries");
     if (this->compactionLeastBytes > this->compactionBytes)
-        return refuse("compactionLeastBytes must be at most compactionBytes");
+        return refuse("minimumCompactionBytes must be at most maximumCompactionBytes");
     return state::outcome::success();
 }
 
@@ -39,7 +41,7 @@
 {
     const std::int64_t drift = this->clockDriftPerMille;
     return this->electionTimeout * (perMille - drift) / (perMille + drift)
-           - state::Duration(1); // rounding down of both clocks
+           - state::Duration(1); // both clocks round down to 1 us
 }
 
 } // namespace lavenderthread::coordination::consensus
--- a/src/coordination/consensus/SnapshotTransfer.cpp
+++ b/src/coordination/consensus/SnapshotTransfer.cpp
@@ -1,5 +1,5 @@
-// A snapshot on its way to a member that needs entries the leader does not hold any more: one
-// bounded piece at a time, each answered before the next.
+// Snapshot transfer to a member that needs entries the leader has already compacted: chunks of
+// bounded size, each acknowledged before the next is sent.
 #include "coordination/consensus/Consensus.h"
 
 #include <utility>
@@ -8,58 +8,59 @@
 
 using state::log::LogSnapshot;
 
-void Consensus::sendSnapshotPiece(const state::VmId &peer, Progress &known)
+void Consensus::sendSnapshotPiece(const state::VmId &peer, Progress &peerProgress)
 {
-    if (known.mode != ProgressMode::Snapshot) {
-        known.mode = ProgressMode::Snapshot;
-        known.snapshot = this->latestSnapshot;
-        known.snapshotOffset = 0;
-        known.waitingFor = this->now.time_since_epoch().count();
+    if (peerProgress.mode != ProgressMode::Snapshot) {
+        peerProgress.mode = ProgressMode::Snapshot;
+        peerProgress.snapshot = this->latestSnapshot;
+        peerProgress.snapshotOffset = 0;
+        peerProgress.waitingFor = this->now.time_since_epoch().count();
     }
-    const LogSnapshot &snapshot = *known.snapshot;
-    SnapshotPiece piece;
-    piece.term = this->hardState.currentTerm;
-    piece.last = snapshot.last;
-    piece.configuration = snapshot.configuration;
-    piece.totalBytes = snapshot.bytes.size();
-    piece.offset = known.snapshotOffset;
-    piece.bytes = snapshot.bytes.substr(known.snapshotOffset, this->settings.snapshotPieceBytes);
-    piece.stamp = this->now.time_since_epoch().count();
-    known.pieceSent = this->now;
-    this->send(peer, std::move(piece));
+    const LogSnapshot &snapshot = *peerProgress.snapshot;
+    SnapshotPiece chunk;
+    chunk.term = this->hardState.currentTerm;
+    chunk.last = snapshot.last;
+    chunk.configuration = snapshot.configuration;
+    chunk.totalBytes = snapshot.bytes.size();
+    chunk.offset = peerProgress.snapshotOffset;
+    chunk.bytes =
+            snapshot.bytes.substr(peerProgress.snapshotOffset, this->settings.snapshotPieceBytes);
+    chunk.stamp = this->now.time_since_epoch().count();
+    peerProgress.pieceSent = this->now;
+    this->send(peer, std::move(chunk));
 }
 
-void Consensus::handle(const state::VmId &from, const SnapshotPiece &piece)
+void Consensus::handle(const state::VmId &from, const SnapshotPiece &chunk)
 {
     const std::uint64_t current = this->hardState.currentTerm;
-    if (piece.term < current) {
-        this->sendWhenPersisted(from, SnapshotResponse{current, piece.last, 0, false, piece.stamp});
+    if (chunk.term < current) {
+        this->sendWhenPersisted(from, SnapshotResponse{current, chunk.last, 0, false, chunk.stamp});
         return;
     }
-    if (piece.term == current && this->role == Role::Leader)
+    if (chunk.term == current && this->role == Role::Leader)
         return;
-    this->hearLeader(from, piece.term);
-    SnapshotResponse response{piece.term, piece.last, 0, false, piece.stamp};
-    state::Result<MemberSet> members = MemberSet::decode(piece.configuration);
-    if (members.has_error() || piece.totalBytes > this->settings.maximumSnapshotBytes)
+    this->hearLeader(from, chunk.term);
+    SnapshotResponse response{chunk.term, chunk.last, 0, false, chunk.stamp};
+    state::Result<MemberSet> members = MemberSet::decode(chunk.configuration);
+    if (members.has_error() || chunk.totalBytes > this->settings.maximumSnapshotBytes)
         return;
-    if (this->log.contains(piece.last) || piece.last.index <= this->commit) {
-        this->commit = std::max(this->commit, piece.last.index);
+    if (this->log.contains(chunk.last) || chunk.last.index <= this->commit) {
+        this->commit = std::max(this->commit, chunk.last.index);
         this->incoming.reset();
         response.installed = true;
         this->sendWhenPersisted(from, response);
         this->applyCommitted();
         return;
     }
-    const bool another = !this->incoming || this->incoming->snapshot.last != piece.last
-                         || this->incoming->totalBytes != piece.totalBytes;
-    if (another)
-        this->incoming = IncomingSnapshot{{piece.last, piece.configuration, {}}, piece.totalBytes};
+    const bool isNewTransfer = !this->incoming || this->incoming->snapshot.last != chunk.last
+                               || this->incoming->totalBytes != chunk.totalBytes;
+    if (isNewTransfer)
+        this->incoming = IncomingSnapshot{{chunk.last, chunk.configuration, {}}, chunk.totalBytes};
     std::string &bytes = this->incoming->snapshot.bytes;
-    if (piece.offset == bytes.size() && piece.bytes.size() <= piece.totalBytes - bytes.size())
-        bytes += piece.bytes;
+    if (chunk.offset == bytes.size() && chunk.bytes.size() <= chunk.totalBytes - bytes.size())
+        bytes += chunk.bytes;
     response.nextOffset = bytes.size();
-    if (bytes.size() == piece.totalBytes) {
+    if (bytes.size() == chunk.totalBytes) {
         this->installSnapshot(*std::exchange(this->incoming, std::nullopt), members.value());
         response.installed = true;
     }
@@ -69,8 +70,8 @@
 void Consensus::installSnapshot(IncomingSnapshot complete, const MemberSet &members)
 {
     auto snapshot = std::make_shared<const LogSnapshot>(std::move(complete.snapshot));
-    // No entry after it is of use: the log differs at its last position, so nothing behind that
-    // place can be committed.
+    // No later entry is kept: the log conflicts with the snapshot at its last position, so no entry
+    // after that position can be committed.
     this->truncateFrom(this->log.beginning().index + 1);
     this->log = MemoryLog(snapshot->last);
     this->configurations = {{snapshot->last.index, members}};
@@ -86,33 +87,34 @@
 
 void Consensus::handle(const state::VmId &from, const SnapshotResponse &response)
 {
-    Progress *answering = this->answering(from, response.term, response.stamp);
-    if (answering == nullptr)
+    Progress *responder = this->answering(from, response.term, response.stamp);
+    if (responder == nullptr)
         return;
-    Progress &known = *answering;
-    if (known.mode != ProgressMode::Snapshot || known.snapshot->last != response.last)
+    Progress &peerProgress = *responder;
+    if (peerProgress.mode != ProgressMode::Snapshot || peerProgress.snapshot->last != response.last)
         return;
     if (response.installed) {
-        known.match = std::max(known.match, response.last.index);
-        known.next = known.match + 1;
-        known.mode = ProgressMode::Replicate;
-        known.snapshot = nullptr;
+        peerProgress.match = std::max(peerProgress.match, response.last.index);
+        peerProgress.next = peerProgress.match + 1;
+        peerProgress.mode = ProgressMode::Replicate;
+        peerProgress.snapshot = nullptr;
         this->advanceCommit();
         this->applyCommitted();
         if (this->role == Role::Leader)
-            this->sendAppend(from, known, false);
+            this->sendAppend(from, peerProgress, false);
         return;
     }
-    // A doubled answer moves nothing on; a receiver that started again says so in its newest one.
-    const bool startsAgain =
-            response.nextOffset < known.snapshotOffset && response.stamp >= known.waitingFor;
-    if (response.nextOffset <= known.snapshotOffset && !startsAgain)
+    // A duplicated response is ignored. A receiver that restarted the transfer reports a smaller
+    // offset in a response to the current chunk.
+    const bool restarted = response.nextOffset < peerProgress.snapshotOffset
+                           && response.stamp >= peerProgress.waitingFor;
+    if (response.nextOffset <= peerProgress.snapshotOffset && !restarted)
         return;
-    if (response.nextOffset >= known.snapshot->bytes.size() && !startsAgain)
+    if (response.nextOffset >= peerProgress.snapshot->bytes.size() && !restarted)
         return;
-    known.snapshotOffset = response.nextOffset;
-    known.waitingFor = this->now.time_since_epoch().count();
-    this->sendSnapshotPiece(from, known);
+    peerProgress.snapshotOffset = response.nextOffset;
+    peerProgress.waitingFor = this->now.time_since_epoch().count();
+    this->sendSnapshotPiece(from, peerProgress);
 }
 
 } // namespace lavenderthread::coordination::consensus
--- a/tests/coordination/consensus/ClusterRig.cpp
+++ b/tests/coordination/consensus/ClusterRig.cpp
@@ -1,4 +1,4 @@
-// The driver half of the rig: time, network, disks, processes.
+// Simulation part of the rig: time, network, disks and processes.
 #include "ClusterRig.h"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::int64_t millisecond = 1000;
-constexpr std::int64_t chaosEnds = 1500 * millisecond;
+constexpr std::int64_t faultsEnd = 1500 * millisecond;
 constexpr std::int64_t probesStart = 2200 * millisecond;
 constexpr std::int64_t runEnds = 2700 * millisecond;
 
@@ -57,7 +57,7 @@
     this->every(25 * millisecond, [this] { this->ask(); });
     this->every(40 * millisecond, [this] { this->operate(); });
     this->every(60 * millisecond, [this] { this->fault(); });
-    this->at(chaosEnds, [this] { this->heal(); });
+    this->at(faultsEnd, [this] { this->heal(); });
     for (std::int64_t time = probesStart; time < runEnds - 200 * millisecond;
          time += 50 * millisecond) {
         this->at(time, [this] {
@@ -108,7 +108,8 @@
 void ClusterRig::slowClock(Node &node) const
 {
     constexpr std::int64_t slow = -700;
-    node.clockOffset += this->now * (node.driftPerMille - slow) / 1000; // no jump now
+    // Keeps the local time continuous.
+    node.clockOffset += this->now * (node.driftPerMille - slow) / 1000;
     node.driftPerMille = slow;
 }
 
@@ -131,7 +132,7 @@
     state::Result<Consensus> machine = Consensus::create(
             this->settings, node.id, node.disk, this->random(), this->localTime(node, this->now));
     if (machine.has_error()) {
-        this->fail("start: " + machine.error().describe());
+        this->fail("start failed: " + machine.error().describe());
         return;
     }
     node.machine = std::move(machine).value();
@@ -144,7 +145,7 @@
     this->armTimer(index);
 }
 
-// What was written but not synced survives up to a random place, in the order of writing.
+// Of the unsynced writes, a random prefix in write order survives.
 void ClusterRig::crash(std::size_t index)
 {
     Node &node = this->nodes[index];
@@ -198,7 +199,7 @@
         if (armed.incarnation != incarnation || armed.timerAt != time)
             return;
         armed.timerAt = -1;
-        this->give(index, Tick{}); // arms the next one, also when a pause puts it off
+        this->give(index, Tick{}); // arms the next timer, also if a pause delays this tick
     });
 }
 
@@ -238,9 +239,9 @@
         return;
     node.syncUnderWay = true;
     const bool slow = !this->calm && this->chance(30);
-    const auto takes = static_cast<GlobalTime>(slow ? this->number(20, 300) * millisecond
-                                                    : this->number(200, 4000));
-    this->at(this->now + takes,
+    const auto syncTime = static_cast<GlobalTime>(slow ? this->number(20, 300) * millisecond
+                                                       : this->number(200, 4000));
+    this->at(this->now + syncTime,
              [this, index, incarnation = node.incarnation, writes = node.unsynced.size()] {
                  this->endSync(index, incarnation, writes);
              });
--- a/tests/coordination/consensus/ClusterRig.h
+++ b/tests/coordination/consensus/ClusterRig.h
@@ -1,6 +1,6 @@
-// A whole cluster of consensus machines under one seed: a network that loses, doubles, delays and
-// reorders, disks that forget what was not synced, clocks that drift, pauses, lost disks and
-// repairs. Everything is checked at every event; the first violation ends the run.
+// Deterministic simulation of a consensus cluster from one seed: a network that loses, duplicates,
+// delays and reorders messages, disks that lose unsynced writes, clocks that drift, pauses, lost
+// disks and repairs. The safety checks run at every event; the first violation ends the run.
 #pragma once
 
 #include "coordination/consensus/Consensus.h"
@@ -20,13 +20,13 @@
 
 namespace lavenderthread::coordination::consensus {
 
-// A safeguard taken away, to show that the checks would notice.
+// A safeguard that is disabled to show that the checks detect its absence.
 enum class Mutation {
     None,
     AnswerBeforeSync, // writes are reported as synced at once
-    VoteWithinLease,  // voters do not wait until the promise to the old leader has ended
-    SlowLeaderClock,  // a clock outside the drift bound, as if the lease took no drift off
-    SameIdAfterLoss,  // a member with a lost disk comes back empty under its old identity
+    VoteWithinLease,  // voters grant votes before the old leader's lease has ended
+    SlowLeaderClock,  // a clock outside the drift bound, as if the lease ignored drift
+    SameIdAfterLoss,  // a member that lost its disk returns empty under its old id
 };
 
 class ClusterRig
@@ -34,7 +34,7 @@
 public:
     ClusterRig(std::uint64_t seed, Mutation chosenMutation);
 
-    // The first violation; nothing if all held.
+    // The first violation; empty if all checks passed.
     std::optional<std::string> run();
 
     struct Counts
@@ -56,7 +56,7 @@
 
     struct Write
     {
-        std::uint64_t sequence = 0; // 0: an own snapshot
+        std::uint64_t sequence = 0; // 0: a snapshot taken by this node
         std::optional<state::log::HardState> hardState;
         SnapshotPointer snapshot;
         std::vector<state::log::LogEntry> entries;
@@ -66,7 +66,7 @@
         state::VmId id;
         Stored disk;
         std::deque<Write> unsynced;
-        std::optional<Consensus> machine; // none while the process is down
+        std::optional<Consensus> machine; // empty while the process is down
         std::uint64_t incarnation = 0;
         std::int64_t clockOffset = 0;
         std::int64_t driftPerMille = 0;
@@ -75,8 +75,8 @@
         bool syncUnderWay = false;
         bool hearsNobody = false;
         bool reachesNobody = false;
-        bool diskLost = false;                     // for good
-        std::map<std::string, std::string> claims; // the applied state: key, winner
+        bool diskLost = false;                     // permanently
+        std::map<std::string, std::string> claims; // the applied state: key to winning claim
         std::uint64_t applied = 0;
     };
     struct Step
@@ -90,7 +90,7 @@
         }
     };
 
-    // Driving
+    // Simulation: time, network, disks, processes
     void at(GlobalTime time, std::function<void()> work);
     void every(GlobalTime period, const std::function<void()> &work);
     state::Instant localTime(const Node &node, GlobalTime time) const;
@@ -107,7 +107,7 @@
     void apply(Node &node, const Actions &actions);
     void takeSnapshot(std::size_t index, const SnapshotWanted &wanted);
 
-    // Faults, callers, operators
+    // Faults, clients, operators
     void start(std::size_t index);
     void crash(std::size_t index);
     void loseDisk(std::size_t index);
@@ -139,8 +139,8 @@
     std::mt19937_64 random;
     Settings settings;
     std::deque<Node> nodes;
-    std::set<std::pair<state::VmId, state::VmId>> cutLinks; // neither way
-    MemberSet target;                                       // what the operators want
+    std::set<std::pair<state::VmId, state::VmId>> cutLinks; // cut in both directions
+    MemberSet target;                                       // member set that the operators aim for
     std::priority_queue<Step> queue;
     std::uint64_t order = 0;
     GlobalTime now = 0;
@@ -151,14 +151,15 @@
     unsigned latePerMille = 0;
 
     std::optional<std::string> violation;
-    std::map<std::uint64_t, state::log::LogEntry> history; // committed, as first applied anywhere
+    // Committed entries, as first applied by any node.
+    std::map<std::uint64_t, state::log::LogEntry> history;
     MemberSet committedMembers;
-    std::map<ProposalId, std::string> proposed; // payload
-    std::map<std::string, std::string> granted; // key, told winner
-    std::uint64_t acknowledgedIndex = 0;        // highest
-    std::map<ReadId, std::uint64_t> readFloor;  // acknowledgedIndex when the read was asked
+    std::map<ProposalId, std::string> proposed; // payload by proposal id
+    std::map<std::string, std::string> granted; // key to acknowledged winner
+    std::uint64_t acknowledgedIndex = 0;        // highest acknowledged
+    std::map<ReadId, std::uint64_t> readFloor;  // acknowledgedIndex when the read was issued
     std::uint64_t nextId = 1;
-    std::optional<ProposalId> lastProbe; // proposals made in calm
+    std::optional<ProposalId> lastProbe; // latest proposal made after the faults ended
     std::uint64_t probesCommitted = 0;
     Counts count;
 };
--- a/tests/coordination/consensus/ClusterRigFaults.cpp
+++ b/tests/coordination/consensus/ClusterRigFaults.cpp
@@ -1,4 +1,4 @@
-// The rig's callers, operators and faults, and what it checks.
+// Clients, operators, faults and checks of the rig.
 #include "ClusterRig.h"
 
 #include <algorithm>
@@ -26,7 +26,7 @@
     }
 }
 
-// Callers resend: several proposals claim the same key under other names, at any member.
+// Clients retry: several proposals with different names claim the same key, at any member.
 void ClusterRig::proposeTo(std::size_t index)
 {
     Propose propose;
@@ -49,7 +49,8 @@
     }
 }
 
-// The operators' loop: whichever member leads takes the next single step towards the wanted set.
+// The operators' loop: every member that leads proposes the next single change towards the target
+// set.
 void ClusterRig::operate()
 {
     for (std::size_t index = 0; index < this->nodes.size(); ++index) {
@@ -101,8 +102,8 @@
     }
 }
 
-// A leader that goes step by step: one member misses it first and campaigns while the rest have
-// heard it a moment ago. Callers are quiet, so that no log is ahead of another.
+// Isolates the leader gradually: one member loses contact first and campaigns while the others
+// still have recent contact. Clients are paused, so that no member's log is ahead of another's.
 void ClusterRig::fadeLeader()
 {
     for (std::size_t index = 0; index < this->nodes.size(); ++index) {
@@ -116,7 +117,7 @@
     }
 }
 
-// Both ways, or only one.
+// Blocks both directions, or only one.
 void ClusterRig::isolate(std::size_t index, std::uint64_t duration)
 {
     if (this->calm)
@@ -138,15 +139,16 @@
              [this, link] { this->cutLinks.erase(link); });
 }
 
-// Only when every wanted member votes and none is missing: one lost disk is then always survivable,
-// and the next one may be lost as soon as the repair is committed.
+// Loses a disk only while the committed member set equals the target: one lost disk is then always
+// survivable, and the next may be lost as soon as the repair is committed.
 void ClusterRig::loseDisk(std::size_t index)
 {
     Node &node = this->nodes[index];
     if (!this->repaired() || node.diskLost || this->target.find(node.id) == nullptr
         || this->count.lostDisks >= maximumLostDisks)
         return;
-    // Some are replaced as planned: the old member runs on, may lead, and learns late that it left.
+    // Some are planned replacements: the old member keeps running, may lead, and learns late that
+    // it was removed.
     const bool planned = this->mutation == Mutation::None && this->chance(250);
     this->secondLossDue = this->chance(700);
     if (planned) {
@@ -162,15 +164,15 @@
         return;
     }
     node.diskLost = !planned;
-    const std::size_t fresh = this->addNode("vm" + std::to_string(this->nodes.size()) + ".2");
+    const std::size_t replacement = this->addNode("vm" + std::to_string(this->nodes.size()) + ".2");
     std::vector<Member> wanted;
     for (const Member &member : this->target.all()) {
         const bool lost = member.id == this->nodes[index].id;
-        wanted.push_back(lost ? Member{this->nodes[fresh].id, member.address, member.role}
+        wanted.push_back(lost ? Member{this->nodes[replacement].id, member.address, member.role}
                               : member);
     }
     this->target = MemberSet::create(wanted).value();
-    this->start(fresh);
+    this->start(replacement);
 }
 
 void ClusterRig::heal()
@@ -190,7 +192,7 @@
     if (actions.restore) {
         ++this->count.snapshotsReceived;
         if (actions.restore->last.index <= node.applied)
-            this->fail(node.id.value() + " went back by a snapshot");
+            this->fail(node.id.value() + " restored a snapshot that is not newer than its state");
         node.applied = actions.restore->last.index;
         node.claims.clear();
         std::istringstream lines(actions.restore->bytes);
@@ -199,18 +201,20 @@
     }
     for (const state::log::LogEntry &entry : actions.committed) {
         if (entry.position.index != ++node.applied)
-            this->fail(node.id.value() + " applied out of order");
+            this->fail(node.id.value() + " applied an entry out of order");
         const auto [known, first] = this->history.emplace(entry.position.index, entry);
         if (known->second != entry)
-            this->fail("committed entry " + std::to_string(entry.position.index) + " changed");
+            this->fail("committed entry " + std::to_string(entry.position.index)
+                       + " changed after it was first applied");
         if (entry.kind == state::log::LogEntryKind::Configuration && first) {
             ++this->count.memberChanges;
             this->committedMembers = MemberSet::decode(entry.payload).value();
         }
         if (entry.kind != state::log::LogEntryKind::Command)
             continue;
-        const std::size_t blank = entry.payload.find(' ');
-        node.claims.emplace(entry.payload.substr(0, blank), entry.payload.substr(blank + 1));
+        const std::size_t separator = entry.payload.find(' ');
+        node.claims.emplace(entry.payload.substr(0, separator),
+                            entry.payload.substr(separator + 1));
     }
 }
 
@@ -223,14 +227,15 @@
         this->acknowledgedIndex = std::max(this->acknowledgedIndex, answer.position.index);
         const auto payload = this->proposed.find(answer.id);
         if (payload == this->proposed.end())
-            continue; // a change of members
+            continue; // a member change
         const auto known = this->history.find(answer.position.index);
         if (known == this->history.end() || known->second.payload != payload->second)
-            this->fail("acknowledged entry is not the committed one");
+            this->fail("acknowledged entry differs from the committed entry");
         const std::string key = payload->second.substr(0, payload->second.find(' '));
-        const auto [told, first] = this->granted.emplace(key, node.claims.at(key));
-        if (told->second != node.claims.at(key))
-            this->fail(key + " decided twice: " + told->second + ", " + node.claims.at(key));
+        const auto [acknowledged, first] = this->granted.emplace(key, node.claims.at(key));
+        if (acknowledged->second != node.claims.at(key))
+            this->fail(key + " acknowledged with two winners: " + acknowledged->second + ", "
+                       + node.claims.at(key));
         if (this->lastProbe && this->calm)
             ++this->probesCommitted;
     }
@@ -252,24 +257,25 @@
         }
     }
     if (holding > 1)
-        this->fail("two leaders may acknowledge at once:" + holders);
+        this->fail("several leaders hold a lease at once:" + holders);
 }
 
 void ClusterRig::checkEnd()
 {
     if (this->probesCommitted == 0)
-        this->fail("no progress in calm");
+        this->fail("no progress after the faults ended");
     if (!this->repaired())
-        this->fail("repair not finished in calm: " + this->committedMembers.encode());
+        this->fail("repair not finished after the faults ended: "
+                   + this->committedMembers.encode());
     for (const Node &node : this->nodes) {
         if (node.diskLost || this->target.find(node.id) == nullptr)
             continue;
         if (node.applied < this->acknowledgedIndex)
-            this->fail(node.id.value() + " misses acknowledged changes in calm");
+            this->fail(node.id.value() + " misses acknowledged changes after the faults ended");
         for (const auto &[key, winner] : this->granted) {
             const auto found = node.claims.find(key);
             if (found == node.claims.end() || found->second != winner)
-                this->fail(key + " differs at " + node.id.value());
+                this->fail(key + " differs from the acknowledged winner at " + node.id.value());
         }
     }
 }
--- a/tests/coordination/consensus/ConsensusTest.cpp
+++ b/tests/coordination/consensus/ConsensusTest.cpp
@@ -1,4 +1,5 @@
-// Single rules of the consensus that random schedules would pass by without telling which one held.
+// Tests single rules of the consensus: random schedules do not show which rule prevented a
+// violation.
 #include "coordination/consensus/Consensus.h"
 
 #include <cppunit/TestFixture.h>
@@ -32,38 +33,38 @@
     return stored;
 }
 
-// Member "a" of three, alone with the test, which plays the other two and the disk.
-struct Solo
+// Member "a" of three. The test acts as the other two members and as the disk.
+struct SingleMember
 {
-    explicit Solo(const Settings &settings = {}, const Stored &stored = firstStart())
+    explicit SingleMember(const Settings &settings = {}, const Stored &stored = firstStart())
         : machine(Consensus::create(settings, state::VmId("a"), stored, 1, {}).value())
     {}
 
     Consensus machine;
     state::Instant now;
 
-    Actions give(const Event &event) { return this->machine.step(event, this->now); }
-    Actions hear(const std::string &from, MessageBody body)
+    Actions step(const Event &event) { return this->machine.step(event, this->now); }
+    Actions receive(const std::string &from, MessageBody body)
     {
-        return this->give(Received{{state::VmId(from), state::VmId("a"), std::move(body)}});
+        return this->step(Received{{state::VmId(from), state::VmId("a"), std::move(body)}});
     }
-    Actions synced(const Actions &actions)
+    Actions completeSync(const Actions &actions)
     {
-        return this->give(Persisted{actions.persistSequence});
+        return this->step(Persisted{actions.persistSequence});
     }
     Actions answerAppend(std::uint64_t index)
     {
-        return this->hear("b", AppendResponse{this->machine.currentTerm(), true, index,
-                                              this->now.time_since_epoch().count()});
+        return this->receive("b", AppendResponse{this->machine.currentTerm(), true, index,
+                                                 this->now.time_since_epoch().count()});
     }
 
-    // Leader of term 1 whose first entry is committed.
-    void lead()
+    // Makes the member leader of term 1 with its first entry committed.
+    void becomeLeader()
     {
         this->now = this->machine.nextTimer();
-        this->give(Tick{});
-        this->synced(this->hear("b", VoteResponse{1, true, true}));
-        this->synced(this->hear("b", VoteResponse{1, false, true}));
+        this->step(Tick{});
+        this->completeSync(this->receive("b", VoteResponse{1, true, true}));
+        this->completeSync(this->receive("b", VoteResponse{1, false, true}));
         this->answerAppend(1);
     }
 };
@@ -73,35 +74,36 @@
 class ConsensusTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(ConsensusTest);
-    CPPUNIT_TEST(voteLeavesAfterItsSync);
-    CPPUNIT_TEST(isolatedLeaderStopsInTime);
-    CPPUNIT_TEST(failedSyncSilencesTheMember);
-    CPPUNIT_TEST(leaderWithHangingDiskResigns);
+    CPPUNIT_TEST(voteIsSentAfterSync);
+    CPPUNIT_TEST(isolatedLeaderStopsBeforeNextElection);
+    CPPUNIT_TEST(failedSyncStopsMember);
+    CPPUNIT_TEST(leaderWithHangingDiskStepsDown);
     CPPUNIT_TEST(membersChangeOneAtATime);
-    CPPUNIT_TEST(refusesToStartOnDamage);
-    CPPUNIT_TEST(logThatOutgrowsItsSnapshotIsReplaced);
+    CPPUNIT_TEST(rejectsCorruptStoredState);
+    CPPUNIT_TEST(outgrownSnapshotIsReplaced);
     CPPUNIT_TEST_SUITE_END();
 
-    // Entries of 50 bytes that are committed until a snapshot is wanted.
+    // The number of 50-byte entries that are committed until a snapshot is requested.
     static int entriesUntilSnapshot(const Settings &settings, std::size_t snapshotBytes)
     {
         Stored stored = firstStart();
         stored.snapshot.bytes.assign(snapshotBytes, 's');
-        Solo solo(settings, stored);
-        solo.lead();
+        SingleMember member(settings, stored);
+        member.becomeLeader();
         for (int entries = 1; entries < 100; ++entries) {
             const std::uint64_t id = static_cast<std::uint64_t>(entries);
-            const Actions synced = solo.synced(solo.give(Propose{{{id, std::string(50, 'c')}}}));
-            if (synced.snapshotWanted || solo.answerAppend(id + 1).snapshotWanted)
+            const Actions synced =
+                    member.completeSync(member.step(Propose{{{id, std::string(50, 'c')}}}));
+            if (synced.snapshotWanted || member.answerAppend(id + 1).snapshotWanted)
                 return entries;
         }
         return 100;
     }
 
 public:
-    // Guards against a member that, when all have lost power, holds nothing that it could hand out
-    // before a leader is elected, since small commands had never filled the log.
-    void logThatOutgrowsItsSnapshotIsReplaced()
+    // Guards against a member that has no state to serve after all members lost power, until a
+    // leader is elected, because small commands never made a snapshot due.
+    void outgrownSnapshotIsReplaced()
     {
         Settings settings;
         settings.trailingEntries = 4;
@@ -112,78 +114,79 @@
         CPPUNIT_ASSERT_EQUAL(41, entriesUntilSnapshot(settings, 100'000));
     }
 
-    // A vote that left before its sync could be given again after a crash, and one term would have
-    // two leaders. It stays here until the disk has it.
-    void voteLeavesAfterItsSync()
+    // A vote sent before its sync could be forgotten in a crash and granted again, and one term
+    // would have two leaders. The vote is held until it is synced.
+    void voteIsSentAfterSync()
     {
-        Solo solo;
-        solo.now += std::chrono::milliseconds(499);
-        CPPUNIT_ASSERT(solo.hear("b", VoteRequest{1, {}, false}).messages.empty());
-        solo.now += std::chrono::milliseconds(2); // what it promised before a restart is over
-        const Actions asked = solo.hear("b", VoteRequest{1, {}, false});
+        SingleMember member;
+        member.now += std::chrono::milliseconds(499);
+        CPPUNIT_ASSERT(member.receive("b", VoteRequest{1, {}, false}).messages.empty());
+        // The vote is no longer withheld for a leader contact from before the restart.
+        member.now += std::chrono::milliseconds(2);
+        const Actions asked = member.receive("b", VoteRequest{1, {}, false});
         CPPUNIT_ASSERT(asked.messages.empty() && asked.hardState->votedFor == "b");
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), solo.synced(asked).messages.size());
-        const Actions second = solo.hear("c", VoteRequest{1, {}, false});
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), member.completeSync(asked).messages.size());
+        const Actions second = member.receive("c", VoteRequest{1, {}, false});
         CPPUNIT_ASSERT(!std::get<VoteResponse>(second.messages.at(0).body).granted);
     }
 
-    // The leader is cut off. Its lease ends before any voter's promise can, counted from the
-    // sending of the heartbeat that was answered last; a change that is committed by a late answer
-    // is not acknowledged, and new ones are refused.
-    void isolatedLeaderStopsInTime()
+    // The leader is isolated. Its lease, counted from sending the last answered heartbeat, ends
+    // before any voter may grant a vote. A change that a late response commits is not acknowledged,
+    // and new proposals are refused.
+    void isolatedLeaderStopsBeforeNextElection()
     {
-        Solo solo;
-        solo.lead();
-        CPPUNIT_ASSERT(solo.machine.holdsLease(solo.now));
-        const state::Instant heard = solo.now;
-        solo.synced(solo.give(Propose{{{7, "change"}}}));
-        solo.now = heard + std::chrono::milliseconds(491); // 500 ms, 1% drift on both clocks
-        CPPUNIT_ASSERT(!solo.machine.holdsLease(solo.now));
+        SingleMember member;
+        member.becomeLeader();
+        CPPUNIT_ASSERT(member.machine.holdsLease(member.now));
+        const state::Instant heard = member.now;
+        member.completeSync(member.step(Propose{{{7, "change"}}}));
+        member.now = heard + std::chrono::milliseconds(491); // 500 ms, 1% drift on both clocks
+        CPPUNIT_ASSERT(!member.machine.holdsLease(member.now));
         const Actions late =
-                solo.hear("b", AppendResponse{1, true, 2, heard.time_since_epoch().count()});
+                member.receive("b", AppendResponse{1, true, 2, heard.time_since_epoch().count()});
         CPPUNIT_ASSERT(late.committed.size() == 1 && late.answers.empty());
-        const Actions refused = solo.give(Propose{{{8, "change"}}});
+        const Actions refused = member.step(Propose{{{8, "change"}}});
         CPPUNIT_ASSERT(refused.answers.at(0).outcome == ProposalOutcome::Refused);
-        solo.now = heard + std::chrono::milliseconds(500);
-        const Actions resigned = solo.give(Tick{});
+        member.now = heard + std::chrono::milliseconds(500);
+        const Actions resigned = member.step(Tick{});
         CPPUNIT_ASSERT(resigned.answers.at(0).outcome == ProposalOutcome::LeadershipLost);
         CPPUNIT_ASSERT(resigned.roleChange->role == Role::Follower);
     }
 
-    void failedSyncSilencesTheMember()
+    void failedSyncStopsMember()
     {
-        Solo solo;
-        solo.lead();
-        solo.give(Propose{{{7, "change"}}});
-        const Actions failed = solo.give(
+        SingleMember member;
+        member.becomeLeader();
+        member.step(Propose{{{7, "change"}}});
+        const Actions failed = member.step(
                 PersistFailed{state::makeError(ErrorCode::StorageFailed, "sync", "disk full")});
         CPPUNIT_ASSERT(failed.roleChange->error->code == ErrorCode::StorageFailed);
         CPPUNIT_ASSERT(failed.answers.at(0).outcome == ProposalOutcome::LeadershipLost);
-        const Actions asked = solo.hear("b", AppendRequest{2, {1, 1}, 1, 0, {}});
+        const Actions asked = member.receive("b", AppendRequest{2, {1, 1}, 1, 0, {}});
         CPPUNIT_ASSERT(asked.messages.empty() && asked.persistSequence == 0);
-        CPPUNIT_ASSERT(!solo.machine.holdsLease(solo.now));
+        CPPUNIT_ASSERT(!member.machine.holdsLease(member.now));
     }
 
-    // Sync neither ends nor fails. With answers from a quorum the lease would go on for ever while
-    // nothing is applied, so the leader makes way.
-    void leaderWithHangingDiskResigns()
+    // The sync neither ends nor fails. With responses from a quorum, the lease would be renewed
+    // forever while nothing is applied, so the leader steps down.
+    void leaderWithHangingDiskStepsDown()
     {
-        Solo solo;
-        solo.lead();
-        solo.give(Propose{{{7, "change"}}});
-        for (int beat = 0; beat < 21; ++beat) {
-            CPPUNIT_ASSERT(solo.machine.currentRole() == Role::Leader);
-            solo.now += std::chrono::milliseconds(100);
-            solo.give(Tick{});
-            solo.answerAppend(2);
-            if (solo.machine.currentRole() != Role::Leader)
+        SingleMember member;
+        member.becomeLeader();
+        member.step(Propose{{{7, "change"}}});
+        for (int tick = 0; tick < 21; ++tick) {
+            CPPUNIT_ASSERT(member.machine.currentRole() == Role::Leader);
+            member.now += std::chrono::milliseconds(100);
+            member.step(Tick{});
+            member.answerAppend(2);
+            if (member.machine.currentRole() != Role::Leader)
                 return;
         }
-        CPPUNIT_FAIL("still leads");
+        CPPUNIT_FAIL("the leader did not step down");
     }
 
-    // A lost disk "c" is replaced by "d": it enters as a learner, votes once caught up, and "c"
-    // leaves last. A second change while one is under way is refused.
+    // Member "c" lost its disk and is replaced by "d", which joins as a learner and votes once
+    // caught up; "c" is removed last. A second change is refused while one is in progress.
     void membersChangeOneAtATime()
     {
         const MemberSet target = setOf({voter("a"), voter("b"), voter("d")});
@@ -201,15 +204,16 @@
         CPPUNIT_ASSERT(!nextMemberChange(setOf({voter("a"), voter("b"), voter("c"), learner("d")}),
                                          target, {}));
 
-        Solo solo;
-        solo.lead();
-        solo.give(ProposeChange{1, {MemberChangeKind::AddLearner, learner("d")}});
-        CPPUNIT_ASSERT(solo.machine.members().find(state::VmId("d")) != nullptr);
-        const Actions second = solo.give(ProposeChange{2, {MemberChangeKind::Remove, voter("c")}});
+        SingleMember member;
+        member.becomeLeader();
+        member.step(ProposeChange{1, {MemberChangeKind::AddLearner, learner("d")}});
+        CPPUNIT_ASSERT(member.machine.members().find(state::VmId("d")) != nullptr);
+        const Actions second =
+                member.step(ProposeChange{2, {MemberChangeKind::Remove, voter("c")}});
         CPPUNIT_ASSERT(second.answers.at(0).error->code == ErrorCode::Conflict);
     }
 
-    void refusesToStartOnDamage()
+    void rejectsCorruptStoredState()
     {
         Stored gap = firstStart();
         gap.hardState.currentTerm = 1;
--- a/tests/coordination/consensus/MemberPlanTest.cpp
+++ b/tests/coordination/consensus/MemberPlanTest.cpp
@@ -1,5 +1,5 @@
-// Contract of the plan of control members: what is replaced, what is waited for, and that a repair
-// never lowers the number of disks that hold the state.
+// Tests MemberPlan: which members are replaced, which are waited for, and that a repair never
+// lowers the number of disks that hold the state.
 #include "coordination/consensus/MemberPlan.h"
 
 #include <cppunit/TestFixture.h>
@@ -10,11 +10,11 @@
 class MemberPlanTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(MemberPlanTest);
-    CPPUNIT_TEST(shortAbsenceIsWaitedFor);
-    CPPUNIT_TEST(removedMachineIsReplaced);
-    CPPUNIT_TEST(wipedDiskComesBackAsAnother);
-    CPPUNIT_TEST(withoutSuccessorsTheDeadKeepTheirPlace);
-    CPPUNIT_TEST(noMoreThanWanted);
+    CPPUNIT_TEST(shortAbsenceIsTolerated);
+    CPPUNIT_TEST(removedVmIsReplaced);
+    CPPUNIT_TEST(emptyDiskReturnsAsNewMember);
+    CPPUNIT_TEST(failedMemberStaysWithoutReplacement);
+    CPPUNIT_TEST(addsNoMoreThanWantedVoters);
     CPPUNIT_TEST_SUITE_END();
 
     const state::Instant start{std::chrono::seconds(100)};
@@ -27,22 +27,22 @@
     static MemberSet setOf(const std::vector<Candidate> &members)
     {
         std::vector<Member> voters;
-        for (const Candidate &each : members)
-            voters.push_back({each.id, each.address, MemberRole::Voter});
+        for (const Candidate &member : members)
+            voters.push_back({member.id, member.address, MemberRole::Voter});
         return MemberSet::create(voters).value();
     }
 
-    // Moves to the plan's target one change at a time; gives the least number of voters on the way.
-    static std::size_t follow(MemberSet &current, const MemberSet &target)
+    // Applies single changes until `target` is reached; returns the lowest voter count on the way.
+    static std::size_t applyChanges(MemberSet &current, const MemberSet &target)
     {
-        std::size_t least = current.voterCount();
+        std::size_t lowest = current.voterCount();
         std::set<state::VmId> caughtUp;
         while (const auto change = nextMemberChange(current, target, caughtUp)) {
             current = current.withChange(*change).value();
             caughtUp.insert(change->member.id);
-            least = std::min(least, current.voterCount());
+            lowest = std::min(lowest, current.voterCount());
         }
-        return least;
+        return lowest;
     }
 
     const Candidate a = candidate("a", 1);
@@ -51,7 +51,7 @@
     const Candidate d = candidate("d", 4);
 
 public:
-    void shortAbsenceIsWaitedFor()
+    void shortAbsenceIsTolerated()
     {
         MemberPlan plan({});
         const MemberSet set = setOf({this->a, this->b, this->c});
@@ -60,35 +60,35 @@
         CPPUNIT_ASSERT(set == plan.target(set, {this->a, this->b, this->c, this->d}, soon));
     }
 
-    // A machine is gone for good and a new one stands in for it at another address: after some
-    // seconds the new one votes, and only then the old one leaves.
-    void removedMachineIsReplaced()
+    // A VM is gone for good and a new one replaces it at another address: after some seconds the
+    // new one becomes a voter, and only then the old one is removed.
+    void removedVmIsReplaced()
     {
         MemberPlan plan({});
         MemberSet set = setOf({this->a, this->b, this->c});
         const std::vector<Candidate> live = {this->a, this->b, this->d};
         plan.target(set, live, this->start);
         const MemberSet target = plan.target(set, live, this->start + std::chrono::seconds(5));
-        CPPUNIT_ASSERT_EQUAL(std::size_t(3), follow(set, target));
+        CPPUNIT_ASSERT_EQUAL(std::size_t(3), applyChanges(set, target));
         CPPUNIT_ASSERT(set.isVoter(this->d.id));
         CPPUNIT_ASSERT(set.find(this->c.id) == nullptr);
     }
 
-    // A machine comes back at its address with an empty disk, under another identity. Its former
-    // self can never answer again and is replaced at once, before a second machine may be lost.
-    void wipedDiskComesBackAsAnother()
+    // A VM returns at its address with an empty disk, under a new identity. Its old identity can
+    // never respond again and is replaced at once, before a second VM may be lost.
+    void emptyDiskReturnsAsNewMember()
     {
         MemberPlan plan({});
         MemberSet set = setOf({this->a, this->b, this->c});
         const std::vector<Candidate> live = {this->a, this->b, candidate("c-2", 3)};
         const MemberSet target = plan.target(set, live, this->start);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(3), follow(set, target));
+        CPPUNIT_ASSERT_EQUAL(std::size_t(3), applyChanges(set, target));
         CPPUNIT_ASSERT(set.isVoter(state::VmId("c-2")));
         CPPUNIT_ASSERT(set.find(this->c.id) == nullptr);
     }
 
-    // Dropping a dead member without a successor would let fewer disks decide.
-    void withoutSuccessorsTheDeadKeepTheirPlace()
+    // Removing a failed member without a replacement would let a quorum of fewer disks decide.
+    void failedMemberStaysWithoutReplacement()
     {
         MemberPlan plan({});
         const MemberSet set = setOf({this->a, this->b, this->c});
@@ -97,7 +97,7 @@
         CPPUNIT_ASSERT(set == plan.target(set, {this->a, this->b}, late));
     }
 
-    void noMoreThanWanted()
+    void addsNoMoreThanWantedVoters()
     {
         MemberPlan plan({});
         const MemberSet set = setOf({this->a, this->b, this->c});
--- a/tests/coordination/consensus/ScheduleTest.cpp
+++ b/tests/coordination/consensus/ScheduleTest.cpp
@@ -1,4 +1,4 @@
-// Randomized schedules over whole clusters, and the proof that the checks bite.
+// Randomized fault schedules on simulated clusters, and mutation tests of the checks.
 #include "ClusterRig.h"
 
 #include <cppunit/TestFixture.h>
@@ -11,18 +11,18 @@
 class ScheduleTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(ScheduleTest);
-    CPPUNIT_TEST(everySeedKeepsItsPromises);
-    CPPUNIT_TEST(mutationsAreCaught);
+    CPPUNIT_TEST(everySeedKeepsInvariants);
+    CPPUNIT_TEST(mutationsAreDetected);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     static constexpr std::uint64_t seeds = 2000;
 
-    // Callers claim keys and read while messages are lost, doubled and late, members crash between
-    // a write and its sync, are isolated, paused or lose their disk, also twice in a row. No answer
-    // may turn out wrong, because a leader acknowledges only what a quorum has synced and only in
-    // its lease; and once the cluster is calm it must work again, repaired.
-    void everySeedKeepsItsPromises()
+    // Clients claim keys and read while messages are lost, duplicated and delayed, and members
+    // crash between a write and its sync, are isolated, paused or lose their disk, also twice in a
+    // row. No answer may be wrong, because a leader acknowledges only what a quorum has synced and
+    // only under its lease. After the faults end, the cluster must be repaired and make progress.
+    void everySeedKeepsInvariants()
     {
         ClusterRig::Counts total;
         for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
@@ -46,7 +46,7 @@
                   << " planned_replacements=" << total.plannedReplacements
                   << " snapshots_received=" << total.snapshotsReceived
                   << " member_changes=" << total.memberChanges << " reads=" << total.reads;
-        // The schedules must reach what they are meant to test, not pass by doing little.
+        // The schedules must exercise enough operations and faults to be meaningful.
         CPPUNIT_ASSERT(total.acknowledged > 20 * seeds && total.reads > 10 * seeds);
         CPPUNIT_ASSERT(total.leaders > 2 * seeds && total.crashes > 3 * seeds);
         CPPUNIT_ASSERT(total.lostDisks > seeds && total.memberChanges > 2 * seeds);
@@ -54,8 +54,8 @@
         CPPUNIT_ASSERT(total.plannedReplacements > seeds / 4);
     }
 
-    // With one safeguard taken away, the same schedules must find the harm.
-    void mutationsAreCaught()
+    // With one safeguard disabled, the same schedules must find a violation.
+    void mutationsAreDetected()
     {
         const std::vector<std::pair<Mutation, std::string>> mutations = {
                 {Mutation::AnswerBeforeSync, "answer before sync"},
@@ -69,10 +69,10 @@
             while (!violation && seed < seeds) {
                 violation = ClusterRig(++seed, mutation).run();
                 if (violation && violation->find("no progress") != std::string::npos)
-                    violation.reset(); // a cluster at a stand still has broken no promise
+                    violation.reset(); // a lack of progress is not a safety violation
             }
-            CPPUNIT_ASSERT_MESSAGE("not caught: " + name, violation.has_value());
-            std::cout << "\n  caught '" << name << "' by seed " << seed << ": " << *violation;
+            CPPUNIT_ASSERT_MESSAGE("not detected: " + name, violation.has_value());
+            std::cout << "\n  detected '" << name << "' by seed " << seed << ": " << *violation;
         }
     }
 };
