--- a/src/coordination/claims/ClaimedRequest.cpp
+++ b/src/coordination/claims/ClaimedRequest.cpp
@@ -1,5 +1,5 @@
-// "Not run" is said only when this attempt sent nothing, will send nothing, and the log has either
-// released its claim or never gave it one.
+// The caller is told "not run" only if this attempt has sent nothing and will send nothing, and the
+// log has either released its claim or never granted one.
 #include "coordination/claims/ClaimedRequest.h"
 
 #include <algorithm>
@@ -15,8 +15,8 @@
 using state::control::ClaimAnswer;
 using state::control::ClaimVerdict;
 
-// Finishing goes on for a while after the caller's deadline: the result is worth keeping for
-// resends.
+// How long recording the outcome continues after the caller's deadline: resends can still use the
+// result.
 constexpr state::Duration finishWindow = std::chrono::seconds(30);
 
 ReplyToCaller notRun(ErrorCode code, const char *cause)
@@ -43,8 +43,8 @@
 
 ClaimActions ClaimedRequest::onClaimAnswer(std::uint64_t id, const ClaimAnswer &answer, Instant now)
 {
-    // A repeated command is answered twice. Taken for the answer to the dispatch mark, the second
-    // grant of the claim would send the request before the mark is committed.
+    // A resent command is answered twice. Mistaking the second grant of the claim for the answer to
+    // the dispatch mark would send the request before the mark is committed.
     if (!this->waiting || id != this->proposal)
         return {};
     this->waiting.reset();
@@ -88,7 +88,7 @@
     case ClaimVerdict::TooLate:
         break;
     }
-    // The log has released this attempt's claim: its entry was given up, or time ran out.
+    // The log has released this attempt's claim: its entry was declared lost, or time ran out.
     return this->end(notRun(ErrorCode::Unavailable, "the claim was released before dispatch"));
 }
 
@@ -114,8 +114,8 @@
 {
     if (answer.verdict != ClaimVerdict::Granted)
         return this->end(notRun(ErrorCode::Unavailable, "the claim was released before dispatch"));
-    // A process that was stopped for a while wakes up here with a right that the log may have given
-    // up since; past the deadline it must not use it.
+    // A process that was paused may resume here with a claim that the log has released meanwhile.
+    // Past the deadline it must not use the claim.
     if (now >= this->start.deadline)
         return this->finish(std::nullopt, now);
     this->step = Step::Running;
@@ -139,7 +139,7 @@
 
 ClaimActions ClaimedRequest::onProposalLost(std::uint64_t id, Instant now)
 {
-    // Every command may be repeated: the log answers a copy as it answered the first.
+    // Every command may be resent: the log gives a copy the same answer as the first.
     if (id == this->proposal)
         this->repeatAt = std::min(this->repeatAt, now);
     return {};
@@ -189,22 +189,23 @@
     return {ProposeCommand{this->proposal, *this->waiting}};
 }
 
-ClaimActions ClaimedRequest::release(Instant now, state::Error why)
+ClaimActions ClaimedRequest::release(Instant now, state::Error error)
 {
     this->step = Step::Releasing;
-    this->reason = std::move(why);
+    this->reason = std::move(error);
     return this->propose(state::control::ReleaseClaim{this->start.id, this->start.holder}, now);
 }
 
 ClaimActions ClaimedRequest::onReleased(const ClaimAnswer &answer)
 {
-    // NotHolder: the log never gave this attempt the claim, or has given it to another since.
+    // NotHolder: the log never granted the claim to this attempt, or has since granted it to
+    // another.
     const bool settled =
             answer.verdict == ClaimVerdict::Granted || answer.verdict == ClaimVerdict::NotHolder;
     if (settled)
         return this->end({Ran::No, std::nullopt, this->reason});
-    // The dispatch mark was committed first. Nothing was sent, but the log can't know that, and a
-    // resend will be told "unknown"; so is this caller.
+    // The dispatch mark was committed before the release. Nothing was sent, but the log can't know
+    // that and answers "unknown" to a resend, so this caller is told the same.
     return this->end(unknown(ErrorCode::Timeout, "the request was marked as dispatched"));
 }
 
--- a/src/coordination/claims/ClaimedRequest.h
+++ b/src/coordination/claims/ClaimedRequest.h
@@ -1,5 +1,6 @@
-// One attempt at a non-idempotent request in its entry: claim first, dispatch once, tell the caller
-// the truth. (state, event, now) -> actions; the owner carries the actions out.
+// State machine for one attempt at a non-idempotent request: takes a claim in the replicated log,
+// dispatches the request at most once, and tells the caller whether it ran. Each event handler
+// returns actions, which the owner carries out.
 #pragma once
 
 #include "state/Error.h"
@@ -14,27 +15,29 @@
 
 namespace lavenderthread::coordination::claims {
 
+// Whether the request ran, as far as the caller may be told.
 enum class Ran : std::uint8_t { No, Unknown, Yes };
 
-// To be proposed to the replicated log; its answer comes back by onClaimAnswer, or onProposalLost
-// if it is not known whether it was committed.
+// Propose a command to the replicated log. The owner reports its answer by onClaimAnswer, or calls
+// onProposalLost if it is unknown whether the command was committed.
 struct ProposeCommand
 {
-    std::uint64_t id = 0; // comes back with the answer; a repeated command keeps it
+    std::uint64_t id = 0; // returned with the answer; a resent command keeps it
     state::control::Command command;
 };
-// Connect to the endpoint without sending anything: onConnected or onConnectFailed.
+// Connect to the endpoint without sending anything. The owner then calls onConnected or
+// onConnectFailed.
 struct ConnectEndpoint
 {};
-// Hand the request to the connection. Given at most once in the life of an attempt.
+// Send the request over the connection. Returned at most once per attempt.
 struct SendRequest
 {};
-// The caller's one answer.
+// Answer the caller. Returned at most once per attempt.
 struct ReplyToCaller
 {
     Ran ran = Ran::Unknown;
-    std::optional<state::control::ClaimResult> result; // with Yes
-    std::optional<state::Error> error;                 // otherwise
+    std::optional<state::control::ClaimResult> result; // set if the request completed
+    std::optional<state::Error> error;                 // set otherwise
 };
 
 using ClaimAction = std::variant<ProposeCommand, ConnectEndpoint, SendRequest, ReplyToCaller>;
@@ -42,8 +45,9 @@
 
 struct ClaimedRequestSettings
 {
-    state::Duration repeatAfter = std::chrono::milliseconds(300); // of an unanswered command
-    // Kept before the deadline for the release's commit, so that "not run" can still be said.
+    state::Duration repeatAfter = std::chrono::milliseconds(300); // for an unanswered command
+    // Time reserved before the deadline to commit the release of the claim, so that the caller can
+    // still be told "not run".
     state::Duration releaseMargin = std::chrono::milliseconds(500);
 };
 
@@ -70,9 +74,9 @@
     ClaimActions onProposalLost(std::uint64_t id, state::Instant now);
     ClaimActions onConnected(state::Instant now);
     ClaimActions onConnectFailed(state::Instant now);
-    // Also after the deadline and after isDone(): a late result still serves resends.
+    // Also accepted after the deadline and after isDone(): a late result is recorded for resends.
     ClaimActions onResult(state::control::ClaimResult result, state::Instant now);
-    // The connection broke after SendRequest and before a whole answer.
+    // The connection broke after SendRequest and before the answer was complete.
     ClaimActions onEndpointLost(state::Instant now);
     ClaimActions onTimer(state::Instant now);
     state::Instant nextTimer() const;
@@ -83,16 +87,16 @@
     enum class Step : std::uint8_t {
         Taking,
         Connecting, // claim held
-        Marking,    // dispatch mark proposed
+        Marking,    // dispatch mark proposed, not yet committed
         Running,    // request sent
-        Releasing,  // release proposed; nothing was sent and nothing will be
-        Finishing,  // outcome proposed; the caller has its answer
+        Releasing,  // release proposed; nothing was or will be sent
+        Finishing,  // outcome proposed; the caller has been answered
         Done,
     };
 
     ClaimActions propose(state::control::Command command, state::Instant now);
     ClaimActions repeat(state::Instant now);
-    ClaimActions release(state::Instant now, state::Error reason);
+    ClaimActions release(state::Instant now, state::Error error);
     ClaimActions finish(std::optional<state::control::ClaimResult> result, state::Instant now);
     ClaimActions onTaken(const state::control::ClaimAnswer &answer, state::Instant now);
     ClaimActions onMarked(const state::control::ClaimAnswer &answer, state::Instant now);
@@ -103,13 +107,13 @@
     ClaimedRequestSettings settings;
     ClaimedRequestStart start;
     Step step = Step::Taking;
-    std::optional<state::control::Command> waiting; // proposed and not answered
+    std::optional<state::control::Command> waiting; // proposed, not answered
     std::uint64_t proposal = 0;                     // id of the latest command
-    state::Instant repeatAt;                        // of `waiting`
-    bool sent = false;                              // SendRequest was given
-    bool hasResult = false;                         // from the endpoint, also after the deadline
-    bool replied = false;                           // the caller gets one answer
-    std::optional<state::Error> reason;             // of a release
+    state::Instant repeatAt;                        // when the pending command is resent
+    bool sent = false;                              // SendRequest was returned
+    bool hasResult = false;             // the endpoint answered, maybe after the deadline
+    bool replied = false;               // the caller is answered only once
+    std::optional<state::Error> reason; // why the claim is released
 };
 
 } // namespace lavenderthread::coordination::claims
--- a/src/coordination/orders/EnforcementTracker.cpp
+++ b/src/coordination/orders/EnforcementTracker.cpp
@@ -1,4 +1,4 @@
-// One record an entry.
+// Keeps the latest report of each entry.
 #include "coordination/orders/EnforcementTracker.h"
 
 #include <algorithm>
@@ -16,11 +16,11 @@
 void EnforcementTracker::onFeedRequest(const state::VmId &entry, std::uint64_t version,
                                        state::Instant now)
 {
-    // A restarted entry reports 0 again: it holds nothing and admits nothing under it, so what its
-    // former life reported must not count for it.
-    Seen &seen = this->entries[entry];
-    seen.version = version;
-    seen.at = std::max(seen.at, now);
+    // A restarted entry reports 0: it has no table and admits nothing, so the version reported
+    // before its restart must not count.
+    Seen &report = this->entries[entry];
+    report.version = version;
+    report.at = std::max(report.at, now);
 }
 
 void EnforcementTracker::onEntryLeft(const state::VmId &entry)
@@ -31,11 +31,11 @@
 Enforcement EnforcementTracker::enforcementOf(std::uint64_t version, state::Instant now) const
 {
     Enforcement result{version, 0, 0, {}};
-    for (const auto &[entry, seen] : this->entries) {
-        if (!this->mayAdmit(seen, now))
+    for (const auto &[entry, report] : this->entries) {
+        if (!this->mayAdmit(report, now))
             continue;
         ++result.entries;
-        if (seen.version >= version)
+        if (report.version >= version)
             ++result.inForce;
         else
             result.missing.push_back(entry);
--- a/src/coordination/orders/EnforcementTracker.h
+++ b/src/coordination/orders/EnforcementTracker.h
@@ -1,5 +1,5 @@
-// Tells of a version: accepted, and in force on k of n entries, with those that are missing. Kept
-// by the leader from the versions that entries report when they ask for news.
+// Tracks on how many entries a table version is in force, and on which it is not. The leader keeps
+// this from the versions that entries report when they request the feed.
 #pragma once
 
 #include "state/Ids.h"
@@ -15,8 +15,8 @@
 struct Enforcement
 {
     std::uint64_t version = 0;
-    std::size_t inForce = 0; // entries at the version or above
-    std::size_t entries = 0; // that may admit requests
+    std::size_t inForce = 0; // entries at this version or a newer one
+    std::size_t entries = 0; // entries that may admit requests
     std::vector<state::VmId> missing;
 
     bool everywhere() const { return this->missing.empty(); }
@@ -26,30 +26,30 @@
 class EnforcementTracker
 {
 public:
-    // `lease`: of the entries' freshness. An entry that has not asked for that long admits nothing,
-    // so it can't act under an older table and is no longer counted.
+    // `freshnessLease`: an entry that has not requested the feed for this long admits nothing, so
+    // it can't act under an older table and is no longer counted.
     explicit EnforcementTracker(state::Duration freshnessLease)
         : lease(freshnessLease)
     {}
 
-    // A new leader knows nobody; until one lease has passed it counts entries that membership names
-    // and that it has not heard of as missing.
+    // A new leader has no reports yet. Until one lease has passed, it counts the entries in the
+    // membership that have not reported as missing.
     void leaderStarted(const std::vector<state::VmId> &liveEntries, state::Instant now);
     void onFeedRequest(const state::VmId &entry, std::uint64_t version, state::Instant now);
-    void onEntryLeft(const state::VmId &entry); // said so itself, after it stopped admitting
+    void onEntryLeft(const state::VmId &entry); // the entry announced it after it stopped admitting
     Enforcement enforcementOf(std::uint64_t version, state::Instant now) const;
     void forgetSilent(state::Instant now);
 
 private:
     struct Seen
     {
-        std::uint64_t version = 0; // the highest reported
-        state::Instant at;         // of the last request
+        std::uint64_t version = 0; // latest reported
+        state::Instant at;         // when the latest request came
     };
 
-    bool mayAdmit(const Seen &seen, state::Instant now) const
+    bool mayAdmit(const Seen &report, state::Instant now) const
     {
-        return now < seen.at + this->lease;
+        return now < report.at + this->lease;
     }
 
     state::Duration lease;
--- a/src/coordination/orders/FeedReceiver.cpp
+++ b/src/coordination/orders/FeedReceiver.cpp
@@ -1,4 +1,4 @@
-// Requests, answers and the lease they give.
+// Requests, answers and the lease that confirmed answers grant.
 #include "coordination/orders/FeedReceiver.h"
 
 #include <algorithm>
@@ -18,8 +18,8 @@
         this->switchMember();
         this->newsAt = now;
     }
-    constexpr std::size_t outstandingKept = 16;
-    if (this->outstanding.size() >= outstandingKept)
+    constexpr std::size_t maxOutstanding = 16;
+    if (this->outstanding.size() >= maxOutstanding)
         this->outstanding.erase(this->outstanding.begin());
     this->pollAt = now + this->settings.refreshEvery;
     this->outstanding.emplace(++this->lastRequest, now);
@@ -35,9 +35,9 @@
     this->outstanding.erase(sent);
     this->heardOf(answer.version, now);
     const bool changed = this->applyPages(answer.pages);
-    // The lease counts from the request's sending: an answer that lingered on its way confirms what
-    // was newest then, not what is newest now. A member that calls an older version the newest than
-    // this entry already has is mistaken, and confirms nothing.
+    // The lease counts from the sending of the request: a delayed answer confirms what was newest
+    // then, not what is newest now. A member that reports an older version as the newest than this
+    // entry already has is wrong and confirms nothing.
     const bool fresh = answer.confirmed && answer.version == this->current.version;
     if (fresh) {
         this->confirmedUntil =
@@ -51,10 +51,10 @@
 
 void FeedReceiver::heardOf(std::uint64_t version, Instant now)
 {
-    constexpr std::size_t mostLacking = 64;
+    constexpr std::size_t maxMissingVersions = 64;
     const std::uint64_t newest =
             this->lacking.empty() ? this->current.version : this->lacking.back().version;
-    if (version > newest && this->lacking.size() < mostLacking)
+    if (version > newest && this->lacking.size() < maxMissingVersions)
         this->lacking.push_back({version, now});
 }
 
@@ -77,18 +77,18 @@
     this->member = memberCount == 0 ? 0 : this->member % memberCount;
 }
 
-// An entry hears of a newer version one refresh after its commit at the latest, while a leader
-// answers; what is left of the bound is the time that the change has to arrive in.
+// While a leader answers, an entry learns of a newer version at most one refresh after its commit.
+// The rest of `inForceWithin` is the time in which the change must arrive.
 ViewLease FeedReceiver::lease() const
 {
-    constexpr state::Duration answerTime = std::chrono::milliseconds(250);
-    constexpr state::Duration leastPatience = std::chrono::milliseconds(250);
+    constexpr state::Duration maxAnswerTime = std::chrono::milliseconds(250);
+    constexpr state::Duration minArrivalTime = std::chrono::milliseconds(250);
     ViewLease lease{this->confirmedUntil, std::nullopt};
     if (const auto since = this->behindSince())
         lease.outdatedFrom =
                 *since
-                + std::max(leastPatience,
-                           this->settings.inForceWithin - this->settings.refreshEvery - answerTime);
+                + std::max(minArrivalTime, this->settings.inForceWithin
+                                                   - this->settings.refreshEvery - maxAnswerTime);
     return lease;
 }
 
@@ -99,7 +99,8 @@
     return this->isFresh(now) || (this->everFresh && this->settings.admitWhenStale);
 }
 
-// All pages of one answer or none: half a view would refuse accounts whose page is missing.
+// Applies all pages of an answer or none: a partial view would refuse accounts whose page is
+// missing.
 bool FeedReceiver::applyPages(const std::vector<FeedPage> &pages)
 {
     if (pages.empty() || pages.front().to <= this->current.version)
--- a/src/coordination/orders/FeedReceiver.h
+++ b/src/coordination/orders/FeedReceiver.h
@@ -1,6 +1,6 @@
-// The entry's side of the distribution: keeps the newest view, applies only upward, and knows
-// whether the view is confirmed fresh. An entry whose view is not fresh admits nothing new under
-// it.
+// Receives control views at an entry: keeps the newest one, never goes back to an older version,
+// and knows whether the view is confirmed as fresh. An entry whose view is not fresh admits no new
+// requests under it.
 #pragma once
 
 #include "state/Time.h"
@@ -18,26 +18,27 @@
 
 struct FeedSettings
 {
-    // A change has to be in force this long after its acknowledgement.
+    // A change must be in force on all entries this long after its acknowledgement.
     state::Duration inForceWithin = std::chrono::seconds(12);
-    // From the sending of a request that a control member answered as confirmed. With the time of
-    // one commit it stays under the 12 s in which a change has to be in force.
+    // How long a confirmed answer keeps the view fresh, counted from the sending of its request.
+    // Together with the time of one commit this is below the 12 s limit of `inForceWithin`.
     state::Duration lease = std::chrono::seconds(8);
     state::Duration refreshEvery = std::chrono::seconds(1);
-    // Without confirmed news for this long the entry asks another control member.
+    // Without a confirmed answer for this long the entry asks another control member.
     state::Duration switchAfter = std::chrono::seconds(3);
-    // Admit under a stale view: for regions that would rather serve under an old table through a
-    // long split than stop. Then "in force everywhere" does not hold for them.
+    // Admit under a stale view, for regions that prefer serving under an old table to stopping
+    // during a long network partition. "In force everywhere" then does not hold for them.
     bool admitWhenStale = false;
 };
 
-// How far decisions under a view may be relied on.
+// How far decisions based on a view may be relied on.
 enum class ViewStanding : std::uint8_t {
-    Confirmed,   // it holds all that was acknowledged longer than `inForceWithin` ago
-    Unconfirmed, // nobody has said so lately: what it refuses may have been allowed since
-    Outdated,    // a newer version has been known of for too long: nothing may be decided under it
+    Confirmed,   // holds every change acknowledged more than `inForceWithin` ago
+    Unconfirmed, // not confirmed lately: what it refuses may since be allowed
+    Outdated,    // a newer version has been known for too long: decide nothing
 };
 
+// Until when a view is confirmed and from when it is outdated.
 struct ViewLease
 {
     state::Instant confirmedUntil;
@@ -55,54 +56,54 @@
 struct FeedRequest
 {
     std::uint64_t id = 0;
-    std::size_t member = 0;    // which of the known control members to ask
-    std::uint64_t version = 0; // the control side counts this entry as having it in force
+    std::size_t member = 0;    // index of the control member to ask
+    std::uint64_t version = 0; // the leader counts it as in force on this entry
 };
 
 struct FeedAnswer
 {
     std::uint64_t id = 0;
-    // The member knew, by its leader's lease or a round to a quorum after the request came, that
-    // `version` is the newest. An isolated member can't know and says false.
+    // The member knew that `version` is the newest, by the leader's lease or by a round trip to a
+    // quorum after the request came. An isolated member can't know and answers false.
     bool confirmed = false;
     std::uint64_t version = 0;
-    std::vector<state::control::FeedPage> pages; // all that the entry lacks
+    std::vector<state::control::FeedPage> pages; // all changes that the entry lacks
 };
 
 class FeedReceiver
 {
 public:
-    // `firstMember` spreads the entries over the members.
+    // `firstMember`: index of the member to ask first; spreads the entries over the members.
     FeedReceiver(FeedSettings feedSettings, std::size_t memberCount, std::size_t firstMember)
         : settings(feedSettings)
         , members(memberCount)
         , member(memberCount == 0 ? 0 : firstMember % memberCount)
     {}
 
-    // A request to send now, if one is due.
+    // The request to send now, if one is due.
     std::optional<FeedRequest> poll(state::Instant now);
-    // True if the view changed and has to be published.
+    // Returns true if the view changed and must be published.
     bool onAnswer(const FeedAnswer &answer, state::Instant now);
-    // What a member has applied, without a word on whether it is the newest: true if the view
-    // changed. Followers give it, since one leader can't send every change to every entry.
+    // Pages that a member has applied, not confirmed as the newest; returns true if the view
+    // changed. Followers send them, since one leader can't send every change to every entry.
     bool onPages(const std::vector<state::control::FeedPage> &pages)
     {
         return this->applyPages(pages);
     }
-    // A control member has applied that version, whether or not it could confirm anything.
+    // A control member has applied this version, whether or not it could confirm it as the newest.
     void heardOf(std::uint64_t version, state::Instant now);
-    // Since when a version is known of that the view lacks; nothing if it lacks none.
+    // When the oldest version that the view lacks was first reported; nothing if it lacks none.
     std::optional<state::Instant> behindSince() const;
     void onRequestFailed(std::uint64_t id);
-    // The next request is due then, if that is sooner: the last one brought nothing.
+    // Moves the next request forward to `at`, if that is sooner: the last one brought nothing.
     void retryAt(state::Instant at) { this->pollAt = std::min(this->pollAt, at); }
     void setMembers(std::size_t memberCount);
 
     const state::control::ControlView &view() const { return this->current; }
     bool isFresh(state::Instant now) const { return this->everFresh && now < this->freshUntil; }
     ViewLease lease() const;
-    // Also false until the first whole view has come, and while the view is outdated, whatever the
-    // settings say.
+    // Whether the entry may admit requests. False until the first complete view has come and while
+    // the view is outdated, whatever the settings say.
     bool admits(state::Instant now) const;
     state::Instant nextPoll() const { return this->pollAt; }
 
@@ -110,7 +111,7 @@
     struct HeardVersion
     {
         std::uint64_t version = 0;
-        state::Instant at; // first heard of
+        state::Instant at; // when it was first reported
     };
 
     bool applyPages(const std::vector<state::control::FeedPage> &pages);
@@ -119,16 +120,17 @@
     FeedSettings settings;
     std::size_t members;
     std::size_t member;
-    state::control::ControlView current; // version never goes down
-    // Rising, and all above the view's; while it is full, newer ones are left out.
+    state::control::ControlView current; // its version never decreases
+    // Known versions newer than the view's, ascending; while the queue is full, newer ones are not
+    // added.
     std::deque<HeardVersion> lacking;
-    state::Instant freshUntil;     // never goes down
-    state::Instant confirmedUntil; // never goes down
+    state::Instant freshUntil;     // never decreases
+    state::Instant confirmedUntil; // never decreases
     bool everFresh = false;
     std::uint64_t lastRequest = 0;
-    std::map<std::uint64_t, state::Instant> outstanding; // when each request was sent
+    std::map<std::uint64_t, state::Instant> outstanding; // by request id: when it was sent
     state::Instant pollAt;
-    state::Instant newsAt; // last confirmed answer, or last switch
+    state::Instant newsAt; // last confirmed answer or switch of member
 };
 
 } // namespace lavenderthread::coordination::orders
--- a/src/coordination/orders/LoadPacer.h
+++ b/src/coordination/orders/LoadPacer.h
@@ -1,4 +1,5 @@
-// Paces loads for the rate-limited weight store: so many at once, and so many bytes a second.
+// Limits the concurrent model loads and the bytes per second that they take from the rate-limited
+// weight store.
 #pragma once
 
 #include "state/Time.h"
@@ -21,7 +22,7 @@
         : settings(pacerSettings)
     {}
 
-    // A new leader does not know what its predecessor started; it assumes one load of `bytes`.
+    // A new leader does not know which loads its predecessor started, so it assumes one of `bytes`.
     void reset(std::uint64_t bytes, state::Instant now)
     {
         this->nextStart = now + this->cost(bytes);
@@ -45,7 +46,7 @@
     }
 
     LoadPacerSettings settings;
-    state::Instant nextStart; // no load starts before
+    state::Instant nextStart; // no load starts before this
 };
 
 } // namespace lavenderthread::coordination::orders
--- a/src/coordination/orders/OrderPlanner.cpp
+++ b/src/coordination/orders/OrderPlanner.cpp
@@ -1,4 +1,4 @@
-// What one round does for one endpoint: look, then decide, then send at most one thing.
+// Each planning round observes an endpoint, decides, and sends it at most one order.
 #include "coordination/orders/OrderPlanner.h"
 
 #include <algorithm>
@@ -15,7 +15,8 @@
 
 namespace {
 
-// Whether the endpoint is as the order wants it. A stop is seen by the next incarnation only.
+// Whether the endpoint is in the state that the order asks for. A stop shows only by the next
+// incarnation.
 bool isSatisfied(const Order &order, const EndpointObservation &seen,
                  const EndpointOrderProgress *progress)
 {
@@ -61,18 +62,18 @@
     const PlannerInput &input;
     Instant now;
     PlannerActions actions;
-    std::uint32_t loads = 0;        // running now
-    std::set<EndpointId> busy;      // sent something this round, or a send is under way
-    std::set<EndpointId> observing; // asked this round
+    std::uint32_t loads = 0;        // in progress
+    std::set<EndpointId> busy;      // sent an order this round, or a send is in progress
+    std::set<EndpointId> observing; // asked for their state this round
 };
 
-void OrderPlanner::leaderStarted(std::uint64_t newTerm, Instant from, std::uint64_t largestModel,
-                                 Instant now)
+void OrderPlanner::leaderStarted(std::uint64_t newTerm, Instant unfencedFrom,
+                                 std::uint64_t largestModel, Instant now)
 {
     this->leading = true;
     this->term = newTerm;
     this->startedAt = now;
-    this->ordersFrom = from;
+    this->ordersFrom = unfencedFrom;
     this->tasks.clear();
     this->pacer.reset(largestModel, now);
 }
@@ -88,7 +89,7 @@
     Endpoint &endpoint = this->endpoints[description.id];
     const bool restarted = endpoint.description.incarnation < description.incarnation;
     if (restarted) {
-        // What was sent to its former life is gone with it.
+        // Orders sent to its former incarnation are lost.
         endpoint.observation.reset();
         std::erase_if(this->tasks,
                       [&](const auto &each) { return each.first.second == description.id; });
@@ -110,7 +111,7 @@
         return;
     Endpoint &endpoint = found->second;
     if (endpoint.observation && askedAt < endpoint.observedAt)
-        return; // an older answer came later
+        return; // an answer to an older request came late
     endpoint.observedAt = askedAt;
     endpoint.models = observation.models;
     endpoint.observation = std::move(observation);
@@ -139,7 +140,8 @@
         const auto found = input.unmetDemand.find(order->spec.model);
         return found == input.unmetDemand.end() ? 0.0 : found->second;
     };
-    // Loads compete for the weight store; what is wanted most comes first, the rest stays in order.
+    // Loads compete for the weight store: models with the most unmet demand come first, the other
+    // orders keep their order.
     std::stable_sort(orders.begin(), orders.end(), [&](const Order *left, const Order *right) {
         return demandOf(left) > demandOf(right);
     });
@@ -157,7 +159,7 @@
 
 void OrderPlanner::noteRunning(Round &round) const
 {
-    // Also of orders that gave way since: two sends to one endpoint could land in either order.
+    // Superseded orders count too: two sends to one endpoint could arrive in either order.
     for (const auto &[key, task] : this->tasks) {
         if (task.sending)
             round.busy.insert(key.second);
@@ -209,7 +211,7 @@
     for (const EndpointId &id : loading)
         this->planOne(round, order, id);
     std::vector<EndpointId> candidates = this->loadCandidates(round, order);
-    // One failure domain lost must not take more of a model's replicas than it has to.
+    // Spread the replicas, so that losing one failure domain loses as few of them as possible.
     while (have < order.spec.endpointCount && !candidates.empty()) {
         const auto next = std::min_element(
                 candidates.begin(), candidates.end(),
@@ -259,7 +261,7 @@
     const EndpointOrderProgress *progress = progressOf(order, id);
     const auto found = this->endpoints.find(id);
     if (found == this->endpoints.end()) {
-        // A stopped endpoint is gone for good, or comes back as a new incarnation.
+        // A stopped endpoint either stays away or returns as a new incarnation.
         const bool absent = round.now >= this->startedAt + this->settings.absence;
         if (order.spec.kind == OrderKind::Stop && progress != nullptr && absent)
             this->record(round, order, id, EndpointOrderState::Applied, "");
@@ -273,8 +275,8 @@
         this->record(round, order, id, EndpointOrderState::Failed, "the endpoint refused it");
         return;
     }
-    // A former leader, or a send without an answer, may have done it already: what was seen before
-    // does not count.
+    // A former leader or a send without an answer may have changed the endpoint, so earlier
+    // observations don't count.
     const Instant seenAfter =
             task.everSent ? std::max(task.endedAt, this->startedAt) : this->startedAt;
     if (!this->observe(round, endpoint, seenAfter))
@@ -284,12 +286,12 @@
         return;
     }
     if (task.everSent && !this->mayRepeat(order, task, round.now)) {
-        // Keep looking: the effect may come later than the answer.
+        // Keep observing: the effect may come later than the answer.
         this->observe(round, endpoint, round.now - this->settings.observeEvery);
         return;
     }
     if (!isUnderWay(order, id)) {
-        // On the log before the endpoint hears of it, so that the next leader knows the
+        // Recorded in the log before the order is sent, so that the next leader knows the
         // incarnation.
         this->record(round, order, id, EndpointOrderState::Sent, "");
         return;
@@ -301,11 +303,11 @@
 {
     const Instant now = round.now;
     const Instant sendBefore = now + this->settings.sendTime;
-    // An order that leaves after the lease could land behind an order of the next leader.
-    const bool underLease = sendBefore < round.input.leaseUntil;
-    const bool fenced = endpoint.description.honoursFencing || now >= this->ordersFrom;
+    // An order sent after the lease ends could arrive after an order of the next leader.
+    const bool withinLease = sendBefore < round.input.leaseUntil;
+    const bool safeFromLateOrders = endpoint.description.honoursFencing || now >= this->ordersFrom;
     const EndpointId &id = endpoint.description.id;
-    if (!underLease || !fenced || round.busy.contains(id))
+    if (!withinLease || !safeFromLateOrders || round.busy.contains(id))
         return;
     if (order.spec.kind == OrderKind::Load) {
         if (!this->pacer.mayStart(round.loads, now))
@@ -340,7 +342,8 @@
     round.actions.records.push_back({order.id, endpoint, {newState, incarnation, cause}});
 }
 
-// True if the endpoint was seen after that instant; asks it otherwise.
+// Returns true if the endpoint was observed at or after that instant; otherwise asks for its state
+// if due.
 bool OrderPlanner::observe(Round &round, Endpoint &endpoint, Instant after) const
 {
     if (endpoint.observation && endpoint.observedAt >= after)
--- a/src/coordination/orders/OrderPlanner.h
+++ b/src/coordination/orders/OrderPlanner.h
@@ -1,5 +1,6 @@
-// Carries out the open orders, on the leader. An order is a wanted state: the planner looks at the
-// endpoint first, sends only what is missing, looks again, and never repeats without having looked.
+// Carries out the open orders on the leader. An order is a desired state: the planner observes the
+// endpoint, sends only what is missing, observes it again, and never resends without observing
+// first.
 #pragma once
 
 #include "coordination/orders/LoadPacer.h"
@@ -21,7 +22,7 @@
 
 namespace lavenderthread::coordination::orders {
 
-// GET /engine/state of one endpoint.
+// The state of one endpoint, from GET /engine/state.
 struct EndpointObservation
 {
     state::EndpointId endpoint;
@@ -31,7 +32,7 @@
     bool draining = false;
 };
 
-// To be sent with the fencing number, unless `sendBefore` has passed by then.
+// Send an order to the endpoint with the fencing number, unless `sendBefore` has passed.
 struct SendOrder
 {
     std::uint64_t orderId = 0;
@@ -45,39 +46,40 @@
 };
 
 enum class SendOutcome : std::uint8_t {
-    Answered, // the endpoint says that it applied it
-    Unknown,  // no answer, or a fencing refusal: look before anything else
-    Refused,  // it never will
+    Answered, // the endpoint reports that it applied the order
+    Unknown,  // no answer, or refused by fencing: observe before resending
+    Refused,  // the endpoint will never apply it
 };
 
 struct PlannerActions
 {
-    std::vector<state::EndpointId> observe; // ask for the endpoint's state
+    std::vector<state::EndpointId> observe; // endpoints to ask for their state
     std::vector<SendOrder> sends;
-    std::vector<state::control::RecordOrderProgress> records; // propose to the log
+    std::vector<state::control::RecordOrderProgress> records; // progress to propose to the log
 };
 
 struct PlannerSettings
 {
     LoadPacerSettings loads;
-    state::Duration observeEvery = std::chrono::seconds(2); // of an endpoint with work to do
+    state::Duration observeEvery = std::chrono::seconds(2); // for endpoints with open orders
     state::Duration repeatAfter = std::chrono::seconds(5);
-    // A load in progress is not visible in the endpoint's state; a second one would take the weight
-    // store's rate twice.
+    // How long a load counts as in progress. The endpoint's state does not show a running load, and
+    // sending it again would use the weight store's rate twice.
     state::Duration loadTime = std::chrono::minutes(10);
-    // A stopped endpoint that nobody has heard of for this long, also since the leader began.
+    // A stop counts as applied once the endpoint is absent and this leadership has lasted this
+    // long.
     state::Duration absence = std::chrono::seconds(30);
-    state::Duration sendTime = std::chrono::seconds(2); // at most from decision to handing over
+    state::Duration sendTime = std::chrono::seconds(2); // maximum from decision to hand-over
 };
 
-// What the leader knows when it plans.
+// State of the leader that a plan is based on.
 struct PlannerInput
 {
     const std::vector<state::control::Order> &open; // ascending by id
     const state::control::ControlView &view;
     std::uint64_t appliedIndex = 0;
-    state::Instant leaseUntil;                      // of this leader
-    std::map<state::ModelName, double> unmetDemand; // decides which model comes back first
+    state::Instant leaseUntil;                      // end of this leader's lease
+    std::map<state::ModelName, double> unmetDemand; // models with more are loaded first
 };
 
 class OrderPlanner
@@ -88,10 +90,10 @@
         , pacer(plannerSettings.loads)
     {}
 
-    // `ordersFrom`: by then the former leader's last order has landed or never will. It holds back
-    // orders to endpoints that ignore fencing; those that honour it refuse the late order
+    // `unfencedFrom`: from then on no order of the former leader can arrive any more. Orders to
+    // endpoints that ignore fencing wait until then; endpoints that honour it refuse a late order
     // themselves.
-    void leaderStarted(std::uint64_t term, state::Instant ordersFrom, std::uint64_t largestModel,
+    void leaderStarted(std::uint64_t term, state::Instant unfencedFrom, std::uint64_t largestModel,
                        state::Instant now);
     void leaderStopped();
 
@@ -101,25 +103,25 @@
     void sendDone(std::uint64_t orderId, const state::EndpointId &endpoint, SendOutcome outcome,
                   state::Instant now);
 
-    // Nothing unless leading.
+    // Returns no actions unless leading.
     PlannerActions plan(const PlannerInput &input, state::Instant now);
 
 private:
     struct Endpoint
     {
         state::EndpointDescription description;
-        std::set<state::ModelName> models; // by the latest of announcement and observation
+        std::set<state::ModelName> models; // from the latest announcement or observation
         std::optional<EndpointObservation> observation;
-        state::Instant observedAt; // when the answered question was asked
+        state::Instant observedAt; // when the request for it was sent
         state::Instant askedAt;
         bool asked = false;
     };
     struct Task
     {
-        bool sending = false; // handed to the driver, no outcome yet
+        bool sending = false; // handed over for sending, no outcome yet
         bool everSent = false;
         bool refused = false;
-        state::Instant sentAt;  // of the last send
+        state::Instant sentAt;  // when it was last sent
         state::Instant endedAt; // when its outcome came
     };
     using TaskKey = std::pair<std::uint64_t, state::EndpointId>; // order and endpoint
@@ -146,8 +148,8 @@
     LoadPacer pacer;
     bool leading = false;
     std::uint64_t term = 0;
-    state::Instant startedAt;  // of this leadership
-    state::Instant ordersFrom; // for endpoints that ignore fencing
+    state::Instant startedAt;  // start of this leadership
+    state::Instant ordersFrom; // earliest send to endpoints that ignore fencing
     std::map<state::EndpointId, Endpoint> endpoints;
     std::map<TaskKey, Task> tasks; // of this leadership
 };
--- a/src/coordination/relay/EventSplitter.cpp
+++ b/src/coordination/relay/EventSplitter.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::string_view idField = "id:";
 
-// The number of an event's id line; nothing if it has none, or none that is a number.
+// The numeric id of an event; nothing if it has no id line with a number.
 std::optional<std::uint64_t> idOf(std::string_view event)
 {
     while (!event.empty()) {
@@ -28,16 +28,16 @@
     return std::nullopt;
 }
 
-// One past the blank line that ends the first event; npos if it has not come yet.
+// Position after the blank line that ends the event starting at `from`; npos if it is incomplete.
 std::size_t endOfEvent(std::string_view bytes, std::size_t from)
 {
-    const std::size_t plain = bytes.find("\n\n", from);
-    const std::size_t carriage = bytes.find("\r\n\r\n", from);
-    if (plain == std::string_view::npos && carriage == std::string_view::npos)
+    const std::size_t lfEnd = bytes.find("\n\n", from);
+    const std::size_t crlfEnd = bytes.find("\r\n\r\n", from);
+    if (lfEnd == std::string_view::npos && crlfEnd == std::string_view::npos)
         return std::string_view::npos;
-    constexpr std::size_t plainLength = 2;
-    constexpr std::size_t carriageLength = 4;
-    return plain < carriage ? plain + plainLength : carriage + carriageLength;
+    constexpr std::size_t lfLength = 2;
+    constexpr std::size_t crlfLength = 4;
+    return lfEnd < crlfEnd ? lfEnd + lfLength : crlfEnd + crlfLength;
 }
 
 } // namespace
@@ -45,7 +45,7 @@
 std::string EventSplitter::take(std::string_view bytes)
 {
     this->rest += bytes;
-    std::string whole;
+    std::string complete;
     std::size_t begin = 0;
     while (true) {
         const std::size_t end = endOfEvent(this->rest, begin);
@@ -53,13 +53,13 @@
             break;
         const std::string_view event = std::string_view(this->rest).substr(begin, end - begin);
         if (this->isNew(event)) {
-            whole += event;
+            complete += event;
             ++this->events;
         }
         begin = end;
     }
     this->rest.erase(0, begin);
-    return whole;
+    return complete;
 }
 
 bool EventSplitter::isNew(std::string_view event)
--- a/src/coordination/relay/EventSplitter.h
+++ b/src/coordination/relay/EventSplitter.h
@@ -1,5 +1,5 @@
-// Cuts a stream of server-sent events into whole events, so that none is passed on torn and a
-// second endpoint can go on behind the last one.
+// Splits a stream of server-sent events into complete events, so that no partial event is passed on
+// and another endpoint can continue after the last one.
 #pragma once
 
 #include <cstdint>
@@ -12,25 +12,26 @@
 class EventSplitter
 {
 public:
-    // Adds bytes; gives the whole events that are new to the caller, as they came. Events up to the
-    // last id that was passed on are left out: an endpoint that resumes may repeat some.
+    // Appends bytes and returns, unchanged, the complete events that are new to the caller. Events
+    // up to the last id passed on are left out, as an endpoint that resumes may repeat some.
     std::string take(std::string_view bytes);
 
-    // Bytes of an event that has not ended.
+    // Whether bytes of an incomplete event are buffered.
     bool hasRest() const { return !this->rest.empty(); }
-    // Another endpoint goes on: what the former one left unfinished is dropped.
+    // Drops the event that an endpoint left incomplete, before another one continues the stream.
     void dropRest() { this->rest.clear(); }
 
     const std::optional<std::uint64_t> &lastId() const { return this->last; }
-    // The caller resumes a stream that it has up to here.
+    // The caller resumes a stream of which it has all events up to `id`.
     void resumeBehind(std::uint64_t id) { this->last = id; }
+    // Number of events passed on.
     std::uint64_t passed() const { return this->events; }
 
 private:
     bool isNew(std::string_view event);
 
     std::string rest;
-    std::optional<std::uint64_t> last; // never goes down
+    std::optional<std::uint64_t> last; // highest event id that the caller has; never decreases
     std::uint64_t events = 0;
 };
 
--- a/src/coordination/relay/FinalAnswer.cpp
+++ b/src/coordination/relay/FinalAnswer.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-// Endpoints that refuse do not count as runs, but a call must not wander through a full service.
-constexpr std::uint32_t allowedRefusals = 3;
+// Refusals don't count as runs, but a call must not try every endpoint of an overloaded service.
+constexpr std::uint32_t maxRefusals = 3;
 
 } // namespace
 
@@ -13,9 +13,10 @@
 {
     if (facts.callerGone || facts.timeIsOver)
         return false;
-    if (facts.runs >= facts.allowedRuns || facts.refusals >= allowedRefusals)
+    if (facts.runs >= facts.allowedRuns || facts.refusals >= maxRefusals)
         return false;
-    // Once it may have run, only what may run again goes on, also when a later endpoint refused.
+    // Once the call may have run, it is retried only if it is repeatable, also when a later
+    // endpoint refused it.
     if (facts.runs > 0 && !facts.repeatable)
         return false;
     return last != AttemptEnd::Whole;
--- a/src/coordination/relay/FinalAnswer.h
+++ b/src/coordination/relay/FinalAnswer.h
@@ -1,5 +1,5 @@
-// What a relayed call is answered when no attempt brought a whole answer, and whether another
-// attempt may follow. The table in which "not run" stays true.
+// Decides whether a relayed call may be retried, and how it is answered if no attempt brought a
+// complete answer. The caller is told "not run" only if no endpoint has run the call.
 #pragma once
 
 #include <compare>
@@ -9,40 +9,42 @@
 
 // How one attempt at an endpoint ended.
 enum class AttemptEnd : std::uint8_t {
-    Whole,     // the caller has the endpoint's whole answer
-    NeverSent, // no byte of the request has left
-    NotRun,    // the endpoint says that it has not run it
-    Failed,    // the endpoint ran it and answered a failure of its own
-    Lost,      // it may have run: cut, silent, or an answer that is none to this request
+    Whole,     // the caller has the endpoint's complete answer
+    NeverSent, // no byte of the request was sent
+    NotRun,    // the endpoint reports that it has not run it
+    Failed,    // the endpoint ran it and answered with a failure
+    Lost,      // it may have run: broken off, no answer, or an answer to another request
 };
 
-// Of one call over all its attempts so far.
+// State of one call over all its attempts so far.
 struct CallFacts
 {
     bool repeatable = false;       // may run more than once
-    std::uint32_t allowedRuns = 1; // endpoints that it may be run on
+    std::uint32_t allowedRuns = 1; // maximum number of endpoints that may run it
     std::uint32_t runs = 0;        // attempts that ended Failed or Lost
-    std::uint32_t refusals = 0;    // that ended NeverSent or NotRun
-    bool answerBegun = false;      // some of an answer has gone to the caller
+    std::uint32_t refusals = 0;    // attempts that ended NeverSent or NotRun
+    bool answerBegun = false;      // part of an answer has been sent to the caller
     bool timeIsOver = false;
     bool callerGone = false;
 
     auto operator<=>(const CallFacts &) const = default;
 };
 
-// Whether the call may be handed to another endpoint after an attempt that did not end Whole.
+// Whether the call may be sent to another endpoint after an attempt that ended with `last`; never
+// after a complete answer.
 bool mayTryAgain(const CallFacts &facts, AttemptEnd last);
 
 enum class FinalAnswer : std::uint8_t {
-    None,           // nobody is there to read one
-    Cut,            // the answer has begun: it ends visibly unfinished
-    EndpointAnswer, // the failure that an endpoint gave, as it gave it
-    NotRun,         // 503: no endpoint has run it, and none will
+    None,           // the caller has gone
+    Cut,            // an answer has begun: end it so that the caller sees it is incomplete
+    EndpointAnswer, // pass on the failure that an endpoint answered, unchanged
+    NotRun,         // 503: no endpoint has run it or will run it
     Unknown,        // 502: it may have run
-    Timeout,        // 504: nothing is promised
+    Timeout,        // 504: it may have run, and the deadline has passed
 };
 
-// `hasEndpointAnswer`: some attempt ended Failed and its answer is kept.
+// The answer to a call without a complete one. `hasEndpointAnswer`: an attempt ended Failed and its
+// answer is kept.
 FinalAnswer finalAnswer(const CallFacts &facts, bool hasEndpointAnswer);
 
 } // namespace lavenderthread::coordination::relay
--- a/tests/coordination/claims/ClaimedRequestTest.cpp
+++ b/tests/coordination/claims/ClaimedRequestTest.cpp
@@ -1,4 +1,5 @@
-// Entries, their claims and a resending caller together: at most one run, and "not run" is true.
+// Tests attempts at several entries against one claim ledger: the request runs at most once, and a
+// caller is told "not run" only if that is true.
 #include "coordination/claims/ClaimedRequest.h"
 #include "state/control/ClaimLedger.h"
 
@@ -20,7 +21,7 @@
 const state::ClientAccountId acme("acme");
 const state::control::ClaimResult posted{201, "application/json", "{}", true};
 
-struct OverClaims
+struct ApplyToLedger
 {
     ClaimLedger &ledger;
 
@@ -37,17 +38,17 @@
     ClaimAnswer operator()(const auto &) { return {}; }
 };
 
-// An entry with one attempt, the log and the endpoint around it.
+// An entry with one attempt; also plays the log and the endpoint.
 struct Entry
 {
     ClaimLedger &ledger;
     int &runs;
     ClaimHolder holder;
     ClaimedRequest request;
-    std::deque<ClaimAction> todo;
+    std::deque<ClaimAction> pendingActions;
     bool sent = false;
     std::optional<ReplyToCaller> reply;
-    std::vector<std::pair<std::uint64_t, ClaimAnswer>> answers; // given so far
+    std::vector<std::pair<std::uint64_t, ClaimAnswer>> answers; // all answers so far
 
     Entry(ClaimLedger &sharedLedger, int &runCount, int number, Instant deadline)
         : ledger(sharedLedger)
@@ -59,18 +60,18 @@
 
     void take(const ClaimActions &actions)
     {
-        this->todo.insert(this->todo.end(), actions.begin(), actions.end());
+        this->pendingActions.insert(this->pendingActions.end(), actions.begin(), actions.end());
     }
 
-    // Carries out the oldest action; false if there is none.
-    bool stepOnce(Instant now)
+    // Carries out the oldest pending action; false if there is none.
+    bool runNextAction(Instant now)
     {
-        if (this->todo.empty())
+        if (this->pendingActions.empty())
             return false;
-        const ClaimAction action = this->todo.front();
-        this->todo.pop_front();
+        const ClaimAction action = this->pendingActions.front();
+        this->pendingActions.pop_front();
         if (const auto *command = std::get_if<ProposeCommand>(&action)) {
-            const ClaimAnswer answer = std::visit(OverClaims{this->ledger}, command->command);
+            const ClaimAnswer answer = std::visit(ApplyToLedger{this->ledger}, command->command);
             this->answers.emplace_back(command->id, answer);
             this->take(this->request.onClaimAnswer(command->id, answer, now));
         } else if (std::holds_alternative<ConnectEndpoint>(action)) {
@@ -94,7 +95,7 @@
 
     void runToEnd(Instant now)
     {
-        while (this->stepOnce(now)) {
+        while (this->runNextAction(now)) {
         }
     }
 };
@@ -108,26 +109,26 @@
 {
     CPPUNIT_TEST_SUITE(ClaimedRequestTest);
     CPPUNIT_TEST(resendAfterEntryKilledAtEachStep);
-    CPPUNIT_TEST(connectFailureIsToldAsNotRun);
-    CPPUNIT_TEST(deadlineWithoutTheLogIsUnknown);
-    CPPUNIT_TEST(wakesTooLateToSend);
-    CPPUNIT_TEST(lateResultStillCounts);
+    CPPUNIT_TEST(connectFailureIsReportedAsNotRun);
+    CPPUNIT_TEST(deadlineWithoutReachingLogIsUnknown);
+    CPPUNIT_TEST(resumedAfterDeadlineDoesNotSend);
+    CPPUNIT_TEST(lateResultIsRecorded);
     CPPUNIT_TEST(randomSchedules);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     void resendAfterEntryKilledAtEachStep()
     {
-        // A caller posts through one entry, which is killed after some step; the caller resends
-        // through another, before and after the log has given the first entry up. Steps: take,
-        // connect, dispatch mark, send, record the result, reply.
+        // An entry is killed after each step of a request. The caller resends through other entries
+        // before and after the log declares the first entry lost. Steps: take the claim, connect,
+        // mark as dispatched, send, record the result, reply.
         for (int steps = 0; steps <= 6; ++steps) {
             ClaimLedger ledger;
             int runs = 0;
             Entry first(ledger, runs, 1, deadline);
             first.take(first.request.begin(begin));
             for (int step = 0; step < steps; ++step)
-                first.stepOnce(begin);
+                first.runNextAction(begin);
             Entry early(ledger, runs, 2, deadline);
             early.take(early.request.begin(begin));
             early.runToEnd(begin);
@@ -137,20 +138,21 @@
             late.runToEnd(begin);
             const std::string message = "killed after step " + std::to_string(steps);
             CPPUNIT_ASSERT_EQUAL_MESSAGE(message, 1, runs + (steps == 3 ? 1 : 0));
-            // After the mark nobody can know; before it the resend runs; after it, the result.
+            // Before the mark is committed the resend runs. Between the mark and the recorded
+            // result nobody can know; after that the resend gets the result.
             const Ran expected = steps == 3 || steps == 4 ? Ran::Unknown : Ran::Yes;
             CPPUNIT_ASSERT_MESSAGE(message, late.reply->ran == expected);
         }
     }
 
-    void connectFailureIsToldAsNotRun()
+    void connectFailureIsReportedAsNotRun()
     {
         ClaimLedger ledger;
         int runs = 0;
         Entry entry(ledger, runs, 1, deadline);
         entry.take(entry.request.begin(begin));
-        entry.stepOnce(begin);
-        entry.todo.clear();
+        entry.runNextAction(begin);
+        entry.pendingActions.clear();
         entry.take(entry.request.onConnectFailed(begin));
         CPPUNIT_ASSERT(!entry.reply); // not before the release is committed
         entry.runToEnd(begin);
@@ -158,19 +160,19 @@
         CPPUNIT_ASSERT_EQUAL(0, runs);
     }
 
-    void deadlineWithoutTheLogIsUnknown()
+    void deadlineWithoutReachingLogIsUnknown()
     {
-        // The entry takes a claim and is then cut off from the control members. It can't get its
-        // release committed by the deadline, so it does not say "not run".
+        // The entry takes a claim and is then partitioned from the control members. It can't commit
+        // its release by the deadline, so it must not say "not run".
         ClaimLedger ledger;
         int runs = 0;
         Entry entry(ledger, runs, 1, deadline);
         entry.take(entry.request.begin(begin));
-        entry.stepOnce(begin);
-        entry.todo.clear();
+        entry.runNextAction(begin);
+        entry.pendingActions.clear();
         for (Instant now = begin; now <= deadline; now = entry.request.nextTimer()) {
             entry.take(entry.request.onTimer(now));
-            std::erase_if(entry.todo, [](const ClaimAction &action) {
+            std::erase_if(entry.pendingActions, [](const ClaimAction &action) {
                 return std::holds_alternative<ProposeCommand>(action);
             });
             entry.runToEnd(now);
@@ -179,29 +181,30 @@
         CPPUNIT_ASSERT_EQUAL(0, runs);
     }
 
-    void wakesTooLateToSend()
+    void resumedAfterDeadlineDoesNotSend()
     {
-        // The process is stopped between the commit of its mark and the send, past the deadline.
+        // The process is paused between the commit of its dispatch mark and the send until after
+        // the deadline.
         ClaimLedger ledger;
         int runs = 0;
         Entry entry(ledger, runs, 1, deadline);
         entry.take(entry.request.begin(begin));
-        entry.stepOnce(begin);
-        entry.stepOnce(begin);
+        entry.runNextAction(begin);
+        entry.runNextAction(begin);
         entry.runToEnd(deadline + std::chrono::seconds(1));
         CPPUNIT_ASSERT_EQUAL(0, runs);
         CPPUNIT_ASSERT(entry.reply->ran == Ran::Unknown);
     }
 
-    void lateResultStillCounts()
+    void lateResultIsRecorded()
     {
         ClaimLedger ledger;
         int runs = 0;
         Entry entry(ledger, runs, 1, deadline);
         entry.take(entry.request.begin(begin));
         for (int step = 0; step < 3; ++step)
-            entry.stepOnce(begin);
-        entry.todo.clear(); // sent, no answer by the deadline
+            entry.runNextAction(begin);
+        entry.pendingActions.clear(); // sent, no answer by the deadline
         entry.take(entry.request.onTimer(deadline));
         entry.runToEnd(deadline);
         CPPUNIT_ASSERT(entry.reply->ran == Ran::Unknown);
@@ -217,8 +220,8 @@
 
     void randomSchedules()
     {
-        // Four attempts of one key at four entries. Answers are lost, commands repeated, entries
-        // given up while alive, time passes in leaps.
+        // Four attempts with one key at four entries. Answers are lost, commands are resent, live
+        // entries are declared lost, and time advances in random steps.
         for (std::uint64_t seed = 0; seed < 500; ++seed)
             this->runSchedule(seed);
     }
@@ -238,18 +241,20 @@
         for (int step = 0; step < 200; ++step) {
             Entry &entry = entries[random() % entries.size()];
             switch (random() % 10) {
-            case 0: // lost on its way to the log
-                if (!entry.todo.empty()
-                    && std::holds_alternative<ProposeCommand>(entry.todo.front())) {
-                    const std::uint64_t id = std::get<ProposeCommand>(entry.todo.front()).id;
-                    entry.todo.pop_front();
+            case 0: // the command is lost before it reaches the log
+                if (!entry.pendingActions.empty()
+                    && std::holds_alternative<ProposeCommand>(entry.pendingActions.front())) {
+                    const std::uint64_t id =
+                            std::get<ProposeCommand>(entry.pendingActions.front()).id;
+                    entry.pendingActions.pop_front();
                     entry.take(entry.request.onProposalLost(id, now));
                 }
                 break;
-            case 1: // committed, the answer lost
-                if (!entry.todo.empty()) {
-                    if (const auto *each = std::get_if<ProposeCommand>(&entry.todo.front()))
-                        std::visit(OverClaims{ledger}, each->command);
+            case 1: // the command is committed but its answer is lost
+                if (!entry.pendingActions.empty()) {
+                    if (const auto *each =
+                                std::get_if<ProposeCommand>(&entry.pendingActions.front()))
+                        std::visit(ApplyToLedger{ledger}, each->command);
                 }
                 break;
             case 2:
@@ -260,7 +265,7 @@
                 if (random() % 4 == 0)
                     ledger.entryLost({entry.holder.entry, 1});
                 break;
-            case 4: // an old answer once more
+            case 4: // an old answer arrives again
                 if (!entry.answers.empty()) {
                     const auto &[id, answer] = entry.answers[random() % entry.answers.size()];
                     entry.take(entry.request.onClaimAnswer(id, answer, now));
@@ -270,7 +275,7 @@
                 entry.take(entry.request.onTimer(now));
                 break;
             default:
-                entry.stepOnce(now);
+                entry.runNextAction(now);
             }
         }
         CPPUNIT_ASSERT_MESSAGE(std::to_string(seed), runs <= 1);
--- a/tests/coordination/orders/FeedTest.cpp
+++ b/tests/coordination/orders/FeedTest.cpp
@@ -1,5 +1,5 @@
-// The entry's view of the table and the leader's account of who has it: only upward, fresh or
-// silent.
+// Tests the entry's view of the table, which never goes back to an older version and admits only
+// while fresh, and the leader's record of which entries have a version in force.
 #include "coordination/orders/EnforcementTracker.h"
 #include "coordination/orders/FeedReceiver.h"
 
@@ -38,14 +38,14 @@
     CPPUNIT_TEST(admitsOnlyWhileFresh);
     CPPUNIT_TEST(leaseCountsFromTheRequest);
     CPPUNIT_TEST(versionsNeverGoBack);
-    CPPUNIT_TEST(pagesComeWholeOrNotAtAll);
-    CPPUNIT_TEST(pagesOfAFollowerChangeTheViewAndConfirmNothing);
-    CPPUNIT_TEST(isolatedMemberIsLeft);
+    CPPUNIT_TEST(pagesAreAppliedAllOrNone);
+    CPPUNIT_TEST(followerPagesChangeTheViewWithoutConfirmingIt);
+    CPPUNIT_TEST(entrySwitchesAwayFromIsolatedMember);
     CPPUNIT_TEST(staleAdmissionIsASetting);
     CPPUNIT_TEST(viewKnownToBeOutdatedAdmitsNothing);
     CPPUNIT_TEST(viewIsConfirmedForAsLongAsAChangeMayTake);
-    CPPUNIT_TEST(changesInARowDoNotOutdateAViewThatFollows);
-    CPPUNIT_TEST(trackerNamesWhoIsMissing);
+    CPPUNIT_TEST(frequentChangesDoNotOutdateAViewThatKeepsUp);
+    CPPUNIT_TEST(trackerListsMissingEntries);
     CPPUNIT_TEST(silentEntryIsNoLongerCounted);
     CPPUNIT_TEST(restartedEntryIsMissingAgain);
     CPPUNIT_TEST_SUITE_END();
@@ -65,9 +65,9 @@
 
     void leaseCountsFromTheRequest()
     {
-        // An answer lingers for seven seconds in a full buffer. It tells what was newest when the
-        // request came; counted from its arrival it would let the entry admit under a table that
-        // was replaced fifteen seconds ago.
+        // An answer waits seven seconds in a full buffer. It confirms what was newest when the
+        // request came; a lease counted from its arrival would let the entry admit under a table
+        // that was replaced fifteen seconds ago.
         FeedReceiver feed({}, 3, 0);
         const FeedRequest request = *feed.poll(at(0));
         feed.onAnswer(answer(request, 5, {page(0, 5)}), at(7'000));
@@ -75,10 +75,11 @@
         CPPUNIT_ASSERT(!feed.admits(at(8'000)));
     }
 
-    void pagesOfAFollowerChangeTheViewAndConfirmNothing()
+    void followerPagesChangeTheViewWithoutConfirmingIt()
     {
-        // A follower that was cut off hands on what it had applied. Callers may be served under it
-        // only once the leader has said that it is the newest; what is older must not come back.
+        // A partitioned follower sends the pages that it had applied. The entry may admit under
+        // them only once the leader has confirmed the version, and must not go back to an older
+        // one.
         FeedReceiver feed({}, 3, 0);
         CPPUNIT_ASSERT(feed.onPages({page(0, 5)}));
         CPPUNIT_ASSERT(!feed.admits(at(0)));
@@ -96,7 +97,7 @@
 
     void versionsNeverGoBack()
     {
-        // A member that was cut off answers late with an older table, confirmed by mistake.
+        // A member that was partitioned answers late with an older table, wrongly confirmed.
         FeedReceiver feed({}, 3, 0);
         const FeedRequest first = *feed.poll(at(0));
         const FeedRequest second = *feed.poll(at(1'000));
@@ -104,15 +105,15 @@
         CPPUNIT_ASSERT(!feed.onAnswer(answer(first, 5, {page(0, 5, "old")}), at(1'020)));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(9), feed.view().version);
         CPPUNIT_ASSERT(feed.view().isDrained(state::EndpointId("new")));
-        CPPUNIT_ASSERT(!feed.admits(at(9'000))); // the stale one did not lengthen the lease
-        // Nor does a change that starts from another version than the entry has.
+        CPPUNIT_ASSERT(!feed.admits(at(9'000))); // the older answer did not extend the lease
+        // A change that starts from another version than the entry's is not applied either.
         const FeedRequest third = *feed.poll(at(2'000));
         CPPUNIT_ASSERT(!feed.onAnswer(answer(third, 12, {page(10, 12)}), at(2'010)));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(9), feed.view().version);
         CPPUNIT_ASSERT(!feed.admits(at(9'000)));
     }
 
-    void pagesComeWholeOrNotAtAll()
+    void pagesAreAppliedAllOrNone()
     {
         FeedReceiver feed({}, 1, 0);
         std::vector<FeedPage> pages(2, page(0, 5));
@@ -123,10 +124,10 @@
         CPPUNIT_ASSERT(feed.onAnswer(answer(*feed.poll(at(2'000)), 5, pages), at(2'001)));
     }
 
-    void isolatedMemberIsLeft()
+    void entrySwitchesAwayFromIsolatedMember()
     {
-        // The entry's control member is cut off from the quorum but still answers. It can't
-        // confirm, so the entry asks the next one after three seconds, well within its lease.
+        // The entry's control member is partitioned from the quorum but still answers. It can't
+        // confirm, so the entry asks the next member after three seconds, well within its lease.
         FeedReceiver feed({}, 3, 1);
         for (int now = 0; now < 3'000; now += 1'000) {
             const FeedRequest request = *feed.poll(at(now));
@@ -144,13 +145,13 @@
         FeedSettings settings;
         settings.admitWhenStale = true;
         FeedReceiver feed(settings, 1, 0);
-        CPPUNIT_ASSERT(!feed.admits(at(0))); // never had a table at all
+        CPPUNIT_ASSERT(!feed.admits(at(0))); // it has never had a table
         feed.onAnswer(answer(*feed.poll(at(0)), 5, {page(0, 5)}), at(1));
         CPPUNIT_ASSERT(feed.admits(at(60'000)) && !feed.isFresh(at(60'000)));
     }
 
-    // Guards against an entry that goes on under an older version although the leader has told it
-    // of a newer one, after the time in which a change has to be in force.
+    // Guards against an entry that admits under an older version although the leader has reported a
+    // newer one and the time in which a change must be in force has passed.
     void viewKnownToBeOutdatedAdmitsNothing()
     {
         FeedSettings settings;
@@ -164,8 +165,8 @@
         CPPUNIT_ASSERT(feed.admits(at(13'040)));
     }
 
-    // Guards against a refusal for good by an entry that has heard nothing for longer than a change
-    // may take; the time counts from the request, as an answer may linger.
+    // Guards against a permanent refusal by an entry whose view was not confirmed for longer than a
+    // change may take. The time counts from the request, since an answer may be delayed.
     void viewIsConfirmedForAsLongAsAChangeMayTake()
     {
         FeedSettings settings;
@@ -177,9 +178,9 @@
         CPPUNIT_ASSERT(feed.lease().at(at(2'500)) == ViewStanding::Unconfirmed);
     }
 
-    // Guards against refusals by an entry that takes in each change soon but, while they follow
-    // each other, is never at the newest.
-    void changesInARowDoNotOutdateAViewThatFollows()
+    // Guards against refusals by an entry that applies each change soon but, while changes keep
+    // coming, never has the newest version.
+    void frequentChangesDoNotOutdateAViewThatKeepsUp()
     {
         FeedSettings settings;
         settings.inForceWithin = std::chrono::milliseconds(2'500);
@@ -194,7 +195,7 @@
         CPPUNIT_ASSERT(feed.lease().at(at(59 * 100 + 1'250)) == ViewStanding::Outdated);
     }
 
-    void trackerNamesWhoIsMissing()
+    void trackerListsMissingEntries()
     {
         EnforcementTracker tracker(std::chrono::seconds(8));
         tracker.leaderStarted({state::VmId("vm-3")}, at(0));
@@ -207,8 +208,8 @@
 
     void silentEntryIsNoLongerCounted()
     {
-        // An entry dies with the old table. Until its lease has run out it might still admit, so
-        // the change is not in force everywhere before that, and is after.
+        // An entry that has the old table dies. It might still admit until its lease has expired,
+        // so the change is in force everywhere only after that.
         EnforcementTracker tracker(std::chrono::seconds(8));
         tracker.onFeedRequest(state::VmId("vm-1"), 6, at(0));
         CPPUNIT_ASSERT(!tracker.enforcementOf(7, at(7'999)).everywhere());
--- a/tests/coordination/orders/OrderPlannerTest.cpp
+++ b/tests/coordination/orders/OrderPlannerTest.cpp
@@ -1,5 +1,5 @@
-// The planner against small fake endpoints: nothing repeated unseen, nothing sent under an old
-// lease, loads spread and paced.
+// Tests the planner against fake endpoints: no order is resent before the endpoint was observed,
+// none is sent after the lease has ended, and loads are spread and paced.
 #include "coordination/orders/OrderPlanner.h"
 #include "state/control/OrderBook.h"
 
@@ -28,7 +28,7 @@
 {
     state::EndpointDescription description;
     EndpointObservation state;
-    int orders = 0; // that landed
+    int orders = 0; // received
 };
 
 // A leader with its planner, the order book, and endpoints that answer within the same second.
@@ -40,7 +40,7 @@
     std::map<EndpointId, FakeEndpoint> endpoints;
     std::vector<SendOrder> sent;
     bool answersLost = false;
-    bool silent = false; // endpoints do not tell their state
+    bool silent = false; // endpoints don't report their state
     Instant leaseUntil = Instant::max();
     std::map<state::ModelName, double> demand;
 
@@ -78,7 +78,7 @@
             this->book.record(record);
         for (const SendOrder &order : actions.sends) {
             this->sent.push_back(order);
-            this->land(order);
+            this->applyOrder(order);
             const SendOutcome outcome =
                     this->answersLost ? SendOutcome::Unknown : SendOutcome::Answered;
             this->planner.sendDone(order.orderId, order.endpoint, outcome, now);
@@ -95,7 +95,7 @@
             this->round(at(second));
     }
 
-    void land(const SendOrder &order)
+    void applyOrder(const SendOrder &order)
     {
         FakeEndpoint &endpoint = this->endpoints.at(order.endpoint);
         ++endpoint.orders;
@@ -136,25 +136,25 @@
 class OrderPlannerTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(OrderPlannerTest);
-    CPPUNIT_TEST(lostAnswerIsNotRepeatedUnseen);
-    CPPUNIT_TEST(newLeaderLooksFirst);
-    CPPUNIT_TEST(unfencedEndpointsWaitOutTheLease);
-    CPPUNIT_TEST(nothingIsSentPastTheOwnLease);
-    CPPUNIT_TEST(stopIsGivenOnceAnIncarnation);
+    CPPUNIT_TEST(orderWithLostAnswerIsNotResentUnobserved);
+    CPPUNIT_TEST(newLeaderObservesFirst);
+    CPPUNIT_TEST(unfencedEndpointsWaitForFormerLease);
+    CPPUNIT_TEST(nothingIsSentAfterOwnLease);
+    CPPUNIT_TEST(stopIsSentOncePerIncarnation);
     CPPUNIT_TEST(loadsSpreadOverFailureDomains);
     CPPUNIT_TEST(lostReplicaIsLoadedElsewhere);
     CPPUNIT_TEST(loadsArePaced);
-    CPPUNIT_TEST(demandDecidesWhichModelComesFirst);
+    CPPUNIT_TEST(modelWithMostDemandIsLoadedFirst);
     CPPUNIT_TEST(refusedOrderFails);
     CPPUNIT_TEST(unloadEverywhere);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void lostAnswerIsNotRepeatedUnseen()
+    void orderWithLostAnswerIsNotResentUnobserved()
     {
-        // The order lands, its answer is lost, and for a minute the endpoint does not tell its
-        // state either. The planner waits, looks, and finds it done; sent again blindly, a stop or
-        // a load would happen twice.
+        // The endpoint applies the order, the answer is lost, and for a minute the endpoint does
+        // not report its state either. The planner waits, observes, and finds the order applied.
+        // Resent without observing, a stop or a load would happen twice.
         Fleet fleet;
         fleet.add("e1", "a");
         fleet.answersLost = true;
@@ -163,7 +163,7 @@
         int second = 0;
         while (fleet.sent.empty())
             fleet.round(at(second++));
-        fleet.silent = true; // what was seen before the send must not decide
+        fleet.silent = true; // observations from before the send must not decide
         fleet.run(second, second + 60);
         CPPUNIT_ASSERT(fleet.book.find(7)->state == OrderState::Open);
         fleet.silent = false;
@@ -173,9 +173,9 @@
         CPPUNIT_ASSERT(fleet.sent[0].fencing == (state::log::LogPosition{1, 100}));
     }
 
-    void newLeaderLooksFirst()
+    void newLeaderObservesFirst()
     {
-        // The old leader's order landed, but it died before that was recorded.
+        // The endpoint applied the old leader's order, but the leader died before recording it.
         Fleet fleet;
         fleet.add("e1", "a");
         fleet.submit(7, specOf(OrderKind::Drain, {EndpointId("e1")}));
@@ -186,10 +186,11 @@
         CPPUNIT_ASSERT(fleet.book.find(7)->state == OrderState::Done);
     }
 
-    void unfencedEndpointsWaitOutTheLease()
+    void unfencedEndpointsWaitForFormerLease()
     {
-        // An order of the old leader may still land at an endpoint that ignores fencing, so the new
-        // one waits until it can't; an endpoint that honours fencing is served at once.
+        // An order of the old leader may still arrive at an endpoint that ignores fencing, so the
+        // new leader waits until it no longer can. An endpoint that honours fencing gets its order
+        // at once.
         Fleet fleet;
         fleet.add("fenced", "a");
         fleet.add("open", "a", false);
@@ -202,7 +203,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), fleet.sent.size());
     }
 
-    void nothingIsSentPastTheOwnLease()
+    void nothingIsSentAfterOwnLease()
     {
         Fleet fleet;
         fleet.add("e1", "a", false);
@@ -218,9 +219,9 @@
         CPPUNIT_ASSERT(fleet.sent.empty());
     }
 
-    void stopIsGivenOnceAnIncarnation()
+    void stopIsSentOncePerIncarnation()
     {
-        // The endpoint stops, is started again by its platform, and must not be stopped again.
+        // The endpoint stops, its platform restarts it, and it must not be stopped again.
         Fleet fleet;
         fleet.add("e1", "a");
         fleet.answersLost = true;
@@ -268,7 +269,7 @@
 
     void loadsArePaced()
     {
-        // Ten replicas are wanted at once; the weight store gives one model in five seconds.
+        // Ten replicas are requested at once; the weight store delivers one model in five seconds.
         PlannerSettings settings;
         settings.loads = {2, 100}; // a model has 10 bytes
         Fleet fleet(settings);
@@ -277,14 +278,14 @@
         fleet.planner.leaderStarted(1, at(0), 10, at(0));
         fleet.submit(7, {OrderKind::Load, {}, model, {}, 10});
         fleet.run(0, 5);
-        CPPUNIT_ASSERT(fleet.sent.empty()); // the former leader may just have started one
+        CPPUNIT_ASSERT(fleet.sent.empty()); // the former leader may just have started a load
         fleet.run(5, 30);
         CPPUNIT_ASSERT_EQUAL(std::size_t(5), fleet.sent.size());
         fleet.run(30, 60);
         CPPUNIT_ASSERT_EQUAL(std::size_t(10), fleet.sent.size());
     }
 
-    void demandDecidesWhichModelComesFirst()
+    void modelWithMostDemandIsLoadedFirst()
     {
         PlannerSettings settings;
         settings.loads = {2, 100};
--- a/tests/coordination/relay/EventSplitterTest.cpp
+++ b/tests/coordination/relay/EventSplitterTest.cpp
@@ -1,4 +1,5 @@
-// Contract of the event splitter: whole events only, each once, however the bytes arrive.
+// Tests that the event splitter passes on only complete events, each once, however the bytes are
+// split.
 #include "coordination/relay/EventSplitter.h"
 
 #include <cppunit/TestFixture.h>
@@ -28,34 +29,34 @@
 class EventSplitterTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(EventSplitterTest);
-    CPPUNIT_TEST(anyCutGivesTheSameStream);
-    CPPUNIT_TEST(anotherEndpointGoesOnBehindATornEvent);
+    CPPUNIT_TEST(anySplitGivesTheSameStream);
+    CPPUNIT_TEST(anotherEndpointContinuesAfterAPartialEvent);
     CPPUNIT_TEST(repeatedEventsAreLeftOut);
     CPPUNIT_TEST(eventsWithoutIdsPass);
-    CPPUNIT_TEST(carriageReturnsEndEventsToo);
+    CPPUNIT_TEST(crlfEndsEventsToo);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void anyCutGivesTheSameStream()
+    void anySplitGivesTheSameStream()
     {
         const std::string whole = events(1, 40);
         std::mt19937 random(7);
-        for (int round = 0; round < 200; ++round) {
+        for (int trial = 0; trial < 200; ++trial) {
             EventSplitter splitter;
             std::string passed;
             for (std::size_t at = 0; at < whole.size();) {
-                const std::size_t piece = 1 + random() % 60;
-                passed += splitter.take(std::string_view(whole).substr(at, piece));
-                at += piece;
+                const std::size_t chunkSize = 1 + random() % 60;
+                passed += splitter.take(std::string_view(whole).substr(at, chunkSize));
+                at += chunkSize;
             }
             CPPUNIT_ASSERT_EQUAL(whole, passed);
             CPPUNIT_ASSERT(!splitter.hasRest());
         }
     }
 
-    // An engine dies inside event 3. The caller has events 1 and 2 whole and nothing of event 3;
-    // the next engine is asked for what comes after 2.
-    void anotherEndpointGoesOnBehindATornEvent()
+    // An engine dies within event 3. The caller has events 1 and 2 complete and nothing of event 3;
+    // the next engine is asked to continue after 2.
+    void anotherEndpointContinuesAfterAPartialEvent()
     {
         EventSplitter splitter;
         std::string passed = splitter.take(events(1, 2) + "id: 3\ndata: tok");
@@ -82,7 +83,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("id: none\n\n"), splitter.take("id: none\n\n"));
     }
 
-    void carriageReturnsEndEventsToo()
+    void crlfEndsEventsToo()
     {
         EventSplitter splitter;
         CPPUNIT_ASSERT_EQUAL(std::string("id: 1\r\n\r\n"), splitter.take("id: 1\r\n\r\nid: 2"));
--- a/tests/coordination/relay/FinalAnswerTest.cpp
+++ b/tests/coordination/relay/FinalAnswerTest.cpp
@@ -1,5 +1,5 @@
-// The table in which "not run" stays true: what may be tried again, and what a caller is told at
-// the end, for every way in which attempts can end.
+// Tests which calls may be retried and what the caller is finally told, for every combination of
+// attempt outcomes: "not run" must be true.
 #include "coordination/relay/FinalAnswer.h"
 
 #include <cppunit/TestFixture.h>
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr std::array ends = {AttemptEnd::NeverSent, AttemptEnd::NotRun, AttemptEnd::Failed,
-                             AttemptEnd::Lost};
+constexpr std::array allOutcomes = {AttemptEnd::NeverSent, AttemptEnd::NotRun, AttemptEnd::Failed,
+                                    AttemptEnd::Lost};
 
 bool mayHaveRun(AttemptEnd end)
 {
@@ -26,11 +26,12 @@
     ++(mayHaveRun(end) ? facts.runs : facts.refusals);
 }
 
-// Follows the rules over a given row of attempt ends; gives how many attempts were made.
-std::size_t play(CallFacts &facts, const std::vector<AttemptEnd> &row, bool &endpointAnswered)
+// Applies the retry rules to a sequence of attempt outcomes; returns the number of attempts made.
+std::size_t runAttempts(CallFacts &facts, const std::vector<AttemptEnd> &outcomes,
+                        bool &endpointAnswered)
 {
     std::size_t made = 0;
-    for (const AttemptEnd end : row) {
+    for (const AttemptEnd end : outcomes) {
         ++made;
         add(facts, end);
         endpointAnswered = endpointAnswered || end == AttemptEnd::Failed;
@@ -45,20 +46,20 @@
 class FinalAnswerTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(FinalAnswerTest);
-    CPPUNIT_TEST(unrepeatableCallsRunOnce);
+    CPPUNIT_TEST(nonRepeatableCallsRunOnce);
     CPPUNIT_TEST(notRunIsTrue);
-    CPPUNIT_TEST(runsStayWithinTheRoute);
+    CPPUNIT_TEST(runsStayWithinTheLimit);
     CPPUNIT_TEST(refusalsAreBounded);
-    CPPUNIT_TEST(whatTheCallerIsTold);
+    CPPUNIT_TEST(finalAnswerOfEachCase);
     CPPUNIT_TEST_SUITE_END();
 
     template <typename Check>
-    static void forAllRows(Check check)
+    static void forAllOutcomes(Check check)
     {
         for (const bool repeatable : {false, true}) {
-            for (const AttemptEnd first : ends) {
-                for (const AttemptEnd second : ends) {
-                    for (const AttemptEnd third : ends)
+            for (const AttemptEnd first : allOutcomes) {
+                for (const AttemptEnd second : allOutcomes) {
+                    for (const AttemptEnd third : allOutcomes)
                         check(repeatable, std::vector{first, second, third});
                 }
             }
@@ -66,39 +67,40 @@
     }
 
 public:
-    // A posting's replica resets the connection. Whether it ran is unknown, so no other replica may
-    // be given it, whatever else refused it before or would refuse it after.
-    void unrepeatableCallsRunOnce()
+    // A replica resets the connection of a non-repeatable call. Whether it ran is unknown, so no
+    // other replica may get the call, whichever replicas refused it before or would refuse it
+    // after.
+    void nonRepeatableCallsRunOnce()
     {
-        forAllRows([](bool repeatable, const std::vector<AttemptEnd> &row) {
+        forAllOutcomes([](bool repeatable, const std::vector<AttemptEnd> &outcomes) {
             CallFacts facts{.repeatable = repeatable, .allowedRuns = 3};
             bool answered = false;
-            play(facts, row, answered);
+            runAttempts(facts, outcomes, answered);
             CPPUNIT_ASSERT(repeatable || facts.runs <= 1);
         });
     }
 
-    // A caller that is told "not run" sends its posting again: no attempt before may have run it.
+    // A caller that is told "not run" sends its call again, so no earlier attempt may have run it.
     void notRunIsTrue()
     {
-        forAllRows([](bool repeatable, const std::vector<AttemptEnd> &row) {
+        forAllOutcomes([](bool repeatable, const std::vector<AttemptEnd> &outcomes) {
             CallFacts facts{.repeatable = repeatable, .allowedRuns = 3};
             bool answered = false;
-            const std::size_t made = play(facts, row, answered);
+            const std::size_t made = runAttempts(facts, outcomes, answered);
             bool ran = false;
             for (std::size_t each = 0; each < made; ++each)
-                ran = ran || mayHaveRun(row[each]);
+                ran = ran || mayHaveRun(outcomes[each]);
             const bool told = finalAnswer(facts, answered) == FinalAnswer::NotRun;
             CPPUNIT_ASSERT_EQUAL(!ran, told);
         });
     }
 
-    void runsStayWithinTheRoute()
+    void runsStayWithinTheLimit()
     {
-        forAllRows([](bool repeatable, const std::vector<AttemptEnd> &row) {
+        forAllOutcomes([](bool repeatable, const std::vector<AttemptEnd> &outcomes) {
             CallFacts facts{.repeatable = repeatable, .allowedRuns = 2};
             bool answered = false;
-            play(facts, row, answered);
+            runAttempts(facts, outcomes, answered);
             CPPUNIT_ASSERT(facts.runs <= 2);
         });
     }
@@ -107,11 +109,11 @@
     {
         CallFacts facts{.repeatable = true, .allowedRuns = 2};
         bool answered = false;
-        const std::vector<AttemptEnd> row(10, AttemptEnd::NotRun);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(3), play(facts, row, answered));
+        const std::vector<AttemptEnd> outcomes(10, AttemptEnd::NotRun);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(3), runAttempts(facts, outcomes, answered));
     }
 
-    void whatTheCallerIsTold()
+    void finalAnswerOfEachCase()
     {
         struct Case
         {
