--- a/src/coordination/quota/Homes.cpp
+++ b/src/coordination/quota/Homes.cpp
@@ -1,4 +1,4 @@
-// Rendezvous choice of homes and split of limits.
+// Chooses homes by rendezvous hashing and splits limits between them.
 #include "coordination/quota/Homes.h"
 
 #include <xxhash.h>
@@ -11,16 +11,16 @@
 namespace lavenderthread::coordination::quota {
 
 namespace {
-// Every account keeps a home in each of three failure domains, as far as its limit goes round.
-constexpr std::uint64_t leastHomes = 3;
+// Allows an account one home in each of three failure domains, if its limit has enough units.
+constexpr std::uint64_t minimumHomes = 3;
 constexpr std::uint64_t smallFleetEntries = 18;
-constexpr std::uint64_t slotsWorthAHome = 4;
-constexpr std::uint64_t tokenRateWorthAHome = 500;
+constexpr std::uint64_t slotsPerHome = 4;
+constexpr std::uint64_t tokenRatePerHome = 500;
 
-// 0 units means no limit, which asks for no home.
-std::uint64_t wantedHomes(std::uint64_t limit, std::uint64_t worth)
+// A limit of 0 means no limit, which needs no home.
+std::uint64_t wantedHomes(std::uint64_t limit, std::uint64_t unitsPerHome)
 {
-    return std::max(limit / worth, std::min(leastHomes, limit));
+    return std::max(limit / unitsPerHome, std::min(minimumHomes, limit));
 }
 } // namespace
 
@@ -35,11 +35,11 @@
 std::uint32_t homeCount(const QuotaLimits &limits, std::size_t rosterSize,
                         std::uint32_t maximumHomes)
 {
-    // In a large fleet the directory steers an account to few entries, and each part that is out
-    // of balance costs messages: parts grow with the fleet.
+    // In a large fleet the directory sends the callers of an account to few entries, and each part
+    // that does not match the demand costs messages. Parts therefore grow with the fleet.
     const std::uint64_t scale = std::max<std::uint64_t>(rosterSize / smallFleetEntries, 1);
-    const auto slots = wantedHomes(limits.inFlight, slotsWorthAHome * scale);
-    const auto rate = wantedHomes(limits.tokensPerSecond, tokenRateWorthAHome * scale);
+    const auto slots = wantedHomes(limits.inFlight, slotsPerHome * scale);
+    const auto rate = wantedHomes(limits.tokensPerSecond, tokenRatePerHome * scale);
     const auto wanted = slots == 0 || rate == 0 ? std::max(slots, rate) : std::min(slots, rate);
     return static_cast<std::uint32_t>(
             std::min({wanted, std::uint64_t{rosterSize}, std::uint64_t{maximumHomes}}));
--- a/src/coordination/quota/Homes.h
+++ b/src/coordination/quota/Homes.h
@@ -1,5 +1,5 @@
-// Which entries are homes of an account, and how its limits are split between them. Every entry
-// works this out alike from the same roster, without a message.
+// Determines which entries are homes of an account, and how its limits are split between them. All
+// entries compute the same result from the same roster, without messages.
 #pragma once
 
 #include "coordination/quota/QuotaTypes.h"
@@ -9,26 +9,26 @@
 
 namespace lavenderthread::coordination::quota {
 
-// The entries that the operators count on, dead ones included: not the live view, which two sides
-// of a partition see differently and would split the limit twice by.
+// The entries that the operators configured, including failed ones. The view of live entries is not
+// used: it differs between the two sides of a partition, and each would split the whole limit.
 struct Roster
 {
     std::vector<state::VmId> entries; // sorted, each once
-    std::uint64_t version = 0;        // of the log; an older one is ignored
+    std::uint64_t version = 0;        // of the log; an older roster is ignored
 
     auto operator<=>(const Roster &) const = default;
 };
 
-// Number of homes over which the limits are split: enough that the loss of one costs little, but
-// each with a part worth having of every limit. Both limits share their homes, or an entry with
-// slots could starve for tokens.
+// Returns the number of homes over which the limits are split: enough that the loss of one costs
+// little, but few enough that each has a useful part of every limit. Both limits use the same
+// homes; otherwise an entry with slots could starve for tokens.
 std::uint32_t homeCount(const QuotaLimits &limits, std::size_t rosterSize,
                         std::uint32_t maximumHomes);
 
-// The first `count` entries by rendezvous hash.
+// Returns the first `count` entries by rendezvous hash.
 std::vector<state::VmId> homesOf(QuotaKey key, const Roster &roster, std::uint32_t count);
 
-// Units of the home at `rank`; the parts add up to `limit`.
+// Returns the units of the home at `rank`. The parts add up to `limit`.
 std::uint64_t partOf(std::uint64_t limit, std::uint32_t count, std::uint32_t rank);
 
 } // namespace lavenderthread::coordination::quota
--- a/src/coordination/quota/PartLedger.cpp
+++ b/src/coordination/quota/PartLedger.cpp
@@ -1,4 +1,4 @@
-// Lending and borrowing of one limit's units.
+// Lends and borrows the units of one limit.
 #include "coordination/quota/PartLedger.h"
 
 #include <algorithm>
@@ -13,7 +13,7 @@
 
 constexpr std::uint64_t floorDivisor = 8; // an eighth of a part is never lent
 
-std::uint64_t minusToZero(std::uint64_t from, std::uint64_t taken)
+std::uint64_t saturatingSubtract(std::uint64_t from, std::uint64_t taken)
 {
     return from > taken ? from - taken : 0;
 }
@@ -26,11 +26,11 @@
 
 } // namespace
 
-void PartLedger::setOwnPart(std::uint64_t units, Duration riseDelay, Instant now)
+void PartLedger::setOwnPart(std::uint64_t units, Duration increaseDelay, Instant now)
 {
     this->part = std::min(this->ownPart(now), units);
     this->risenPart = units;
-    this->riseAt = std::max(this->riseAt, now + riseDelay);
+    this->riseAt = std::max(this->riseAt, now + increaseDelay);
 }
 
 std::uint64_t PartLedger::ownPart(Instant now) const
@@ -55,12 +55,12 @@
 {
     if (this->recovering)
         return this->floor(now);
-    return minusToZero(this->ownPart(now), this->lent(now));
+    return saturatingSubtract(this->ownPart(now), this->lent(now));
 }
 
 std::uint64_t PartLedger::startableOwn(Instant now) const
 {
-    return minusToZero(this->usableOwn(now), now < this->keptBackUntil ? this->keptBack : 0);
+    return saturatingSubtract(this->usableOwn(now), now < this->keptBackUntil ? this->keptBack : 0);
 }
 
 void PartLedger::keepBack(std::uint64_t units, Instant until)
@@ -90,44 +90,44 @@
 std::uint64_t PartLedger::spare(std::uint64_t ownDemand, Instant now) const
 {
     const std::uint64_t kept = std::max(this->floor(now), ownDemand);
-    return minusToZero(this->ownPart(now), this->lent(now) + kept);
+    return saturatingSubtract(this->ownPart(now), this->lent(now) + kept);
 }
 
-std::optional<QuotaGrant> PartLedger::answer(const VmId &borrower, const QuotaAsk &ask,
+std::optional<QuotaGrant> PartLedger::answer(const VmId &borrower, const QuotaAsk &request,
                                              std::uint64_t ownDemand, Duration maximumHold,
                                              Instant now)
 {
     if (this->recovering)
         return std::nullopt;
     const auto known = this->loansOut.find(borrower);
-    if (known == this->loansOut.end() && ask.units == 0)
+    if (known == this->loansOut.end() && request.units == 0)
         return std::nullopt;
     LoanOut loan = known == this->loansOut.end() ? LoanOut{} : known->second;
-    if (ask.sequence <= loan.sequence)
+    if (request.sequence <= loan.sequence)
         return std::nullopt;
     const Duration hold =
-            std::min<Duration>(std::chrono::milliseconds(ask.holdMilliseconds), maximumHold);
+            std::min<Duration>(std::chrono::milliseconds(request.holdMilliseconds), maximumHold);
     if (loan.until <= now)
         loan.units = 0;
-    const std::uint64_t kept = std::min(loan.units, ask.units);
+    const std::uint64_t kept = std::min(loan.units, request.units);
     loan.units = kept;
-    this->loansOut[borrower] = loan; // what was given back can be lent again, also to the asker
-    // The part has shrunk below what is lent: the loans run out, or the same units would be lent
-    // here and owned elsewhere for as long as borrowers renew.
+    this->loansOut[borrower] = loan; // returned units can be lent again, also to this borrower
+    // The part has shrunk below the units lent, so the loans are left to expire. If they were
+    // renewed, the same units would be lent here and owned elsewhere as long as borrowers renew.
     if (this->lent(now) > this->ownPart(now))
         return std::nullopt;
-    loan.units += std::min(ask.units - kept, this->spare(ownDemand, now));
+    loan.units += std::min(request.units - kept, this->spare(ownDemand, now));
     loan.until = std::max(loan.until, now + lengthenedByDrift(hold));
-    loan.sequence = ask.sequence;
+    loan.sequence = request.sequence;
     this->loansOut[borrower] = loan;
-    const bool wantsBack = ownDemand > minusToZero(this->ownPart(now), this->lent(now));
-    return QuotaGrant{ask.key,
+    const bool recalled = ownDemand > saturatingSubtract(this->ownPart(now), this->lent(now));
+    return QuotaGrant{request.key,
                       this->dimension,
-                      ask.sequence,
+                      request.sequence,
                       loan.units,
                       this->spare(ownDemand, now),
                       inMilliseconds(hold),
-                      wantsBack};
+                      recalled};
 }
 
 void PartLedger::adopt(const VmId &borrower, const QuotaHolding &holding, Instant now)
@@ -158,7 +158,7 @@
     LoanIn &loan = known->second;
     if (!loan.waiting || grant.sequence != loan.askedSequence)
         return;
-    // Counted from the sending of the ask, which was before the home began to count.
+    // Counted from the sending of the loan request, which was before the home started its count.
     const Duration hold = std::chrono::milliseconds(grant.holdMilliseconds);
     loan.waiting = false;
     loan.until = std::max(loan.until, loan.askedAt + shortenedByDrift(hold));
@@ -173,7 +173,7 @@
     const auto known = this->loansIn.find(lender);
     if (known == this->loansIn.end() || known->second.units == 0 || known->second.until <= now)
         return std::nullopt;
-    // One millisecond more makes up for the rounding.
+    // One millisecond is added because the conversion rounds down.
     const auto heldFor = inMilliseconds(known->second.until - now) + 1;
     return QuotaHolding{key, this->dimension, known->second.units, heldFor};
 }
--- a/src/coordination/quota/QuotaAsking.cpp
+++ b/src/coordination/quota/QuotaAsking.cpp
@@ -1,4 +1,4 @@
-// How an entry works out what it needs on loan, and of which homes it asks that.
+// Computes how many units an entry needs to borrow, and from which homes it requests them.
 #include "coordination/quota/QuotaNode.h"
 
 #include <algorithm>
@@ -12,13 +12,14 @@
 
 namespace {
 
-// Requests that come until the next renewal have later deadlines than those that wait now.
+// Requests that arrive before the next renewal have later deadlines than those that wait now.
 constexpr Duration holdMargin = std::chrono::seconds(3);
 
-// Borrowed beyond the demand for tokens, and kept, so that not every change of it costs a message.
+// A quarter of the token demand is borrowed and kept in addition, so that not every change of the
+// demand costs a message.
 constexpr std::uint64_t rateSlackDivisor = 4;
 
-std::uint64_t minusToZero(std::uint64_t from, std::uint64_t taken)
+std::uint64_t saturatingSubtract(std::uint64_t from, std::uint64_t taken)
 {
     return from > taken ? from - taken : 0;
 }
@@ -32,8 +33,8 @@
     if (this->recovering)
         this->sayHello(outbox, now);
     this->refillAsks(now);
-    // In turn, from the account after the last that had one: with few asks left the same accounts
-    // would be served always.
+    // Round robin, starting after the account that sent the last loan request. Otherwise the same
+    // accounts would always use up a small budget of loan requests.
     std::vector<QuotaKey> keys(this->active.upper_bound(this->askedLast), this->active.end());
     keys.insert(keys.end(), this->active.begin(), this->active.upper_bound(this->askedLast));
     for (const QuotaKey key : keys)
@@ -60,10 +61,10 @@
     this->planAsks(key, account.homes, account.slots, slotNeed, outbox, now);
     this->planAsks(key, account.homes, account.rate, rateNeed, outbox, now);
     account.bucket.settle(account.rate.ledger, now);
-    const bool quiet = slotNeed.units == 0 && rateNeed.units == 0
-                       && !account.slots.ledger.hasOpenLoans(now)
-                       && !account.rate.ledger.hasOpenLoans(now);
-    if (quiet)
+    const bool idle = slotNeed.units == 0 && rateNeed.units == 0
+                      && !account.slots.ledger.hasOpenLoans(now)
+                      && !account.rate.ledger.hasOpenLoans(now);
+    if (idle)
         this->active.erase(key);
 }
 
@@ -74,9 +75,9 @@
         return need;
     const std::uint64_t own = account.slots.ledger.usableOwn(now);
     const std::uint64_t running = account.pool.running();
-    need.units = minusToZero(running + account.demand.waitingRequests, own);
+    need.units = saturatingSubtract(running + account.demand.waitingRequests, own);
     need.keep = need.units;
-    need.inUse = minusToZero(running, own);
+    need.inUse = saturatingSubtract(running, own);
     need.lastsUntil = account.pool.latestOnBorrowed(own, now);
     const Instant latest = std::max(need.lastsUntil, account.demand.latestDeadline);
     const Duration left = lengthenedByDrift(lengthenedByDrift(latest - now)) + holdMargin;
@@ -91,34 +92,36 @@
         return need;
     const std::uint64_t demand = account.demand.tokensPerSecond;
     const std::uint64_t own = account.rate.ledger.usableOwn(now);
-    // What is saved up carries a short peak; most accounts are small and peak often.
-    const std::uint64_t filling = own + account.rate.ledger.borrowed(now);
-    const bool savesEnough =
+    // The tokens in the bucket cover a short peak; most accounts are small and peak often.
+    const std::uint64_t fillRate = own + account.rate.ledger.borrowed(now);
+    const bool bucketSuffices =
             account.bucket.level() * 2
-            > static_cast<double>(filling)
+            > static_cast<double>(fillRate)
                       * std::chrono::duration<double>(this->settings.burst).count();
-    need.units = savesEnough ? 0 : minusToZero(demand, own);
-    need.keep = minusToZero(demand + demand / rateSlackDivisor, own);
+    need.units = bucketSuffices ? 0 : saturatingSubtract(demand, own);
+    need.keep = saturatingSubtract(demand + demand / rateSlackDivisor, own);
     need.lastsUntil = now;
     need.hold = std::min(this->settings.minimumHold, this->settings.maximumHold);
     return need;
 }
 
-void QuotaNode::planAsks(QuotaKey key, const std::vector<std::uint16_t> &homes, Share &share,
+void QuotaNode::planAsks(QuotaKey key, const std::vector<std::uint16_t> &homes, Share &limitState,
                          const Need &need, Outbox &outbox, Instant now)
 {
-    if (now >= share.nextRenewal) {
-        // On common beats, so that all accounts share their messages to a peer.
-        const auto beats = now.time_since_epoch() / this->settings.renewInterval + 1;
-        share.nextRenewal = Instant(beats * this->settings.renewInterval);
-        this->renew(key, share, need, outbox, now);
+    if (now >= limitState.nextRenewal) {
+        // At multiples of the interval, so that renewals of all accounts share a message to a peer.
+        const auto intervals = now.time_since_epoch() / this->settings.renewInterval + 1;
+        limitState.nextRenewal = Instant(intervals * this->settings.renewInterval);
+        this->renew(key, limitState, need, outbox, now);
     }
-    this->askMore(key, homes, share, need, outbox, now);
+    this->askMore(key, homes, limitState, need, outbox, now);
 }
 
-// Renews all loans of the share together, and gives back what is too much: first to homes that want
-// it back, then the loans that end first. What is left must outlast the requests that run on it.
-void QuotaNode::renew(QuotaKey key, Share &share, const Need &need, Outbox &outbox, Instant now)
+// Renews all loans of one limit together and returns surplus units: first to homes that recall
+// them, then from the loans that end first. The remaining loans must outlast the requests that use
+// them.
+void QuotaNode::renew(QuotaKey key, Share &limitState, const Need &need, Outbox &outbox,
+                      Instant now)
 {
     struct Held
     {
@@ -128,11 +131,12 @@
         bool recalled;
     };
     std::vector<Held> held;
-    std::uint64_t lasting = 0; // units that outlast the requests in use
+    std::uint64_t lasting = 0; // units that outlast the requests that use them
     std::uint64_t total = 0;
-    for (const auto &[lender, loan] : share.ledger.loansHeld()) {
-        // An unanswered ask is withdrawn if nothing is missing any more; else it is repeated below.
-        const bool withdraws = share.ledger.borrowed(now) >= need.units;
+    for (const auto &[lender, loan] : limitState.ledger.loansHeld()) {
+        // An unanswered loan request is withdrawn if no units are missing any more. Otherwise
+        // requestMore repeats it.
+        const bool withdraws = limitState.ledger.borrowed(now) >= need.units;
         if (!PartLedger::isOpen(loan, now) || (loan.units == 0 && !withdraws))
             continue;
         held.push_back({lender, loan.units, loan.until, loan.recalled});
@@ -146,25 +150,27 @@
         const std::uint64_t before = loan.units;
         const bool lasts = loan.until >= need.lastsUntil;
         const std::uint64_t removable =
-                lasts ? std::min(loan.units, minusToZero(lasting, need.inUse)) : loan.units;
-        const std::uint64_t surplus = loan.recalled ? loan.units : minusToZero(total, need.keep);
+                lasts ? std::min(loan.units, saturatingSubtract(lasting, need.inUse)) : loan.units;
+        const std::uint64_t surplus =
+                loan.recalled ? loan.units : saturatingSubtract(total, need.keep);
         const std::uint64_t returned = std::min(removable, surplus);
         loan.units -= returned;
         total -= returned;
         lasting -= lasts ? returned : 0;
-        const LoanIn &known = share.ledger.loansHeld().at(loan.lender);
-        const bool steady = loan.units == before && !known.waiting && lasts
-                            && now < known.askedAt + this->settings.steadyRenewInterval;
-        if (!steady)
-            this->sendAsk(key, share, loan.lender, loan.units, need, outbox, now);
+        const LoanIn &known = limitState.ledger.loansHeld().at(loan.lender);
+        const bool unchanged = loan.units == before && !known.waiting && lasts
+                               && now < known.askedAt + this->settings.steadyRenewInterval;
+        if (!unchanged)
+            this->sendAsk(key, limitState, loan.lender, loan.units, need, outbox, now);
     }
 }
 
-// Asks homes that said that they have more first, then the others in even pieces.
-void QuotaNode::askMore(QuotaKey key, const std::vector<std::uint16_t> &homes, Share &share,
+// Requests units from homes that reported spare units first, and the rest in equal amounts from all
+// candidates.
+void QuotaNode::askMore(QuotaKey key, const std::vector<std::uint16_t> &homes, Share &limitState,
                         const Need &need, Outbox &outbox, Instant now)
 {
-    const std::uint64_t held = share.ledger.borrowed(now);
+    const std::uint64_t held = limitState.ledger.borrowed(now);
     if (held >= need.units)
         return;
     std::uint64_t missing = need.keep - held;
@@ -179,8 +185,8 @@
         const VmId &lender = this->roster.entries[home];
         if (lender == this->self)
             continue;
-        const auto known = share.ledger.loansHeld().find(lender);
-        if (known == share.ledger.loansHeld().end()) {
+        const auto known = limitState.ledger.loansHeld().find(lender);
+        if (known == limitState.ledger.loansHeld().end()) {
             candidates.push_back({lender, 0, 0});
             continue;
         }
@@ -199,11 +205,11 @@
     std::uint64_t knownSpare = 0;
     for (const Candidate &candidate : candidates)
         knownSpare += candidate.spare;
-    const std::uint64_t open = minusToZero(missing, knownSpare);
-    const std::uint64_t piece =
-            candidates.empty() ? 0 : (open + candidates.size() - 1) / candidates.size();
+    const std::uint64_t unassigned = saturatingSubtract(missing, knownSpare);
+    const std::uint64_t evenAmount =
+            candidates.empty() ? 0 : (unassigned + candidates.size() - 1) / candidates.size();
     for (const Candidate &candidate : candidates) {
-        const std::uint64_t more = std::min(missing, candidate.spare + piece);
+        const std::uint64_t more = std::min(missing, candidate.spare + evenAmount);
         if (more == 0)
             continue;
         if (this->asksLeft < 1)
@@ -211,20 +217,21 @@
         this->asksLeft -= 1;
         this->askedLast = key;
         missing -= more;
-        this->sendAsk(key, share, candidate.lender, candidate.held + more, need, outbox, now);
+        this->sendAsk(key, limitState, candidate.lender, candidate.held + more, need, outbox, now);
     }
 }
 
-void QuotaNode::sendAsk(QuotaKey key, Share &share, const VmId &lender, std::uint64_t units,
+void QuotaNode::sendAsk(QuotaKey key, Share &limitState, const VmId &lender, std::uint64_t units,
                         const Need &need, Outbox &outbox, Instant now)
 {
     QuotaMessage &message = this->messageTo(lender, outbox);
-    // At most one ask a share in a message; a later one of the same tick takes its place.
-    const QuotaAsk ask = share.ledger.ask(key, lender, units, this->nextSequence++, need.hold, now);
+    // A message has at most one loan request per limit; a later one of the same tick replaces it.
+    const QuotaAsk request =
+            limitState.ledger.ask(key, lender, units, this->nextSequence++, need.hold, now);
     std::erase_if(message.asks, [&](const QuotaAsk &earlier) {
-        return earlier.key == ask.key && earlier.dimension == ask.dimension;
+        return earlier.key == request.key && earlier.dimension == request.dimension;
     });
-    message.asks.push_back(ask);
+    message.asks.push_back(request);
 }
 
 } // namespace lavenderthread::coordination::quota
--- a/src/coordination/quota/QuotaNode.cpp
+++ b/src/coordination/quota/QuotaNode.cpp
@@ -1,4 +1,4 @@
-// Accounts, parts and messages of one entry; how much to ask of whom is in QuotaAsking.cpp.
+// Accounts, parts and messages of one entry. QuotaAsking.cpp decides on the loan requests.
 #include "coordination/quota/QuotaNode.h"
 
 #include <algorithm>
@@ -27,7 +27,7 @@
     const bool first = this->roster.entries.empty();
     if (!first && next.version <= this->roster.version)
         return;
-    const Duration riseDelay = std::max(this->settleTime() - age, Duration(0));
+    const Duration increaseDelay = std::max(this->settleTime() - age, Duration(0));
     this->roster = next;
     for (const VmId &entry : next.entries) {
         if (first && entry != this->self)
@@ -38,10 +38,10 @@
     });
     for (const auto &[key, limits] : this->rows) {
         if (this->isHome(key, limits))
-            this->accountOf(key, riseDelay, now);
+            this->accountOf(key, increaseDelay, now);
     }
     for (auto &[key, account] : this->accounts)
-        this->updateParts(key, account, riseDelay, now);
+        this->updateParts(key, account, increaseDelay, now);
     this->endRecoveryIfKnown(now);
 }
 
@@ -50,24 +50,25 @@
     const QuotaKey key = quotaKeyOf(row.key);
     const QuotaLimits limits{row.inFlightLimit, row.tokensPerSecondLimit};
     const auto before = this->rows.find(key);
-    const bool alike = before == this->rows.end() || this->splitsAlike(before->second, limits);
-    const Duration riseDelay = alike ? Duration(0) : this->settleTime();
+    const bool sameHomeCount =
+            before == this->rows.end() || this->splitsAlike(before->second, limits);
+    const Duration increaseDelay = sameHomeCount ? Duration(0) : this->settleTime();
     this->rows[key] = limits;
     const auto known = this->accounts.find(key);
     if (known != this->accounts.end())
-        this->updateParts(key, known->second, riseDelay, now);
+        this->updateParts(key, known->second, increaseDelay, now);
     else if (this->isHome(key, limits))
-        this->accountOf(key, riseDelay, now);
+        this->accountOf(key, increaseDelay, now);
 }
 
-// The entry that had the part before may not know yet, and what it lent of it is still out. Both
-// are over after this time, so the part is never used twice.
+// The previous owner of a part may not know of the change yet, and its loans may still run. After
+// this time neither is possible, so the part is never used twice.
 Duration QuotaNode::settleTime() const
 {
     return lengthenedByDrift(this->settings.rosterFreshness + this->settings.maximumHold);
 }
 
-// With as many homes as before every part rises or every part falls, and nothing changes hands.
+// With an unchanged number of homes all parts grow or all shrink, and no units change the owner.
 bool QuotaNode::splitsAlike(const QuotaLimits &left, const QuotaLimits &right) const
 {
     const auto before = this->homeCountOf(left);
@@ -79,7 +80,7 @@
     return homeCount(limits, this->roster.entries.size(), this->settings.maximumHomes);
 }
 
-QuotaNode::Account &QuotaNode::accountOf(QuotaKey key, Duration riseDelay, Instant now)
+QuotaNode::Account &QuotaNode::accountOf(QuotaKey key, Duration increaseDelay, Instant now)
 {
     const auto known = this->accounts.find(key);
     if (known != this->accounts.end())
@@ -87,11 +88,11 @@
     Account &account = this->accounts.try_emplace(key, this->settings.burst).first->second;
     account.slots.ledger.setRecovering(this->recovering);
     account.rate.ledger.setRecovering(this->recovering);
-    this->updateParts(key, account, riseDelay, now);
+    this->updateParts(key, account, increaseDelay, now);
     return account;
 }
 
-void QuotaNode::updateParts(QuotaKey key, Account &account, Duration riseDelay, Instant now)
+void QuotaNode::updateParts(QuotaKey key, Account &account, Duration increaseDelay, Instant now)
 {
     const QuotaLimits limits = this->limitsOf(key);
     const std::vector<VmId> homes = homesOf(key, this->roster, this->homeCountOf(limits));
@@ -105,10 +106,10 @@
         return place < count ? partOf(limit, count, place) : 0;
     };
     account.slots.limit = limits.inFlight;
-    account.slots.ledger.setOwnPart(partOfLimit(limits.inFlight), riseDelay, now);
+    account.slots.ledger.setOwnPart(partOfLimit(limits.inFlight), increaseDelay, now);
     account.bucket.settle(account.rate.ledger, now);
     account.rate.limit = limits.tokensPerSecond;
-    account.rate.ledger.setOwnPart(partOfLimit(limits.tokensPerSecond), riseDelay, now);
+    account.rate.ledger.setOwnPart(partOfLimit(limits.tokensPerSecond), increaseDelay, now);
     account.bucket.settle(account.rate.ledger, now);
 }
 
@@ -195,8 +196,8 @@
         return {};
     if (message.hello)
         this->writeStatement(message, outbox, now);
-    for (const QuotaAsk &ask : message.asks)
-        this->answerAsk(message.from, ask, outbox, now);
+    for (const QuotaAsk &request : message.asks)
+        this->answerAsk(message.from, request, outbox, now);
     if (message.forIncarnation != this->incarnation)
         return collect(std::move(outbox));
     if (message.statement)
@@ -206,8 +207,8 @@
     return collect(std::move(outbox));
 }
 
-// False for a message that an earlier process of the peer sent. Its grants are not known to the
-// later one, which would lend the same units again.
+// Returns false for a message of an earlier process of the peer. The later process does not know
+// the grants of the earlier one and would lend the same units again.
 bool QuotaNode::greet(const QuotaMessage &message, Instant now)
 {
     std::uint64_t &known = this->peerIncarnations[message.from];
@@ -224,52 +225,53 @@
     return true;
 }
 
-void QuotaNode::answerAsk(const VmId &borrower, const QuotaAsk &ask, Outbox &outbox, Instant now)
+void QuotaNode::answerAsk(const VmId &borrower, const QuotaAsk &request, Outbox &outbox,
+                          Instant now)
 {
-    const auto known = this->accounts.find(ask.key);
+    const auto known = this->accounts.find(request.key);
     if (known == this->accounts.end())
         return;
     Account &account = known->second;
     account.bucket.settle(account.rate.ledger, now);
-    const auto grant = ask.dimension == Dimension::InFlight
-                               ? this->lendSlots(borrower, ask, account, now)
-                               : this->lendRate(borrower, ask, account, now);
+    const auto grant = request.dimension == Dimension::InFlight
+                               ? this->lendSlots(borrower, request, account, now)
+                               : this->lendRate(borrower, request, account, now);
     account.bucket.settle(account.rate.ledger, now);
     if (grant)
         this->messageTo(borrower, outbox).grants.push_back(*grant);
 }
 
-std::optional<QuotaGrant> QuotaNode::lendSlots(const VmId &borrower, const QuotaAsk &ask,
+std::optional<QuotaGrant> QuotaNode::lendSlots(const VmId &borrower, const QuotaAsk &request,
                                                Account &account, Instant now)
 {
     PartLedger &ledger = account.slots.ledger;
     const std::uint64_t running = account.pool.running();
     const std::uint64_t wanted = this->keptFrom(borrower, account, ledger.ownPart(now),
                                                 running + account.demand.waitingRequests);
-    auto grant = ledger.answer(borrower, ask, std::max(running, wanted), this->settings.maximumHold,
-                               now);
+    auto grant = ledger.answer(borrower, request, std::max(running, wanted),
+                               this->settings.maximumHold, now);
     const std::uint64_t usable = ledger.usableOwn(now);
     const std::uint64_t kept = std::max(wanted, ledger.floor(now));
-    if (!grant || grant->units >= ask.units || kept >= usable)
+    if (!grant || grant->units >= request.units || kept >= usable)
         return grant;
-    // Told as spare, so that the borrower asks again soon and the slots do not stay idle for long.
-    grant->spare = std::min(ask.units - grant->units, usable - kept);
+    // Reported as spare, so that the borrower soon requests them and they are not idle for long.
+    grant->spare = std::min(request.units - grant->units, usable - kept);
     ledger.keepBack(grant->spare, now + this->settings.renewInterval);
     return grant;
 }
 
-std::optional<QuotaGrant> QuotaNode::lendRate(const VmId &borrower, const QuotaAsk &ask,
+std::optional<QuotaGrant> QuotaNode::lendRate(const VmId &borrower, const QuotaAsk &request,
                                               Account &account, Instant now)
 {
     PartLedger &ledger = account.rate.ledger;
     const std::uint64_t wanted =
             this->keptFrom(borrower, account, ledger.ownPart(now), account.demand.tokensPerSecond);
-    return ledger.answer(borrower, ask, wanted,
+    return ledger.answer(borrower, request, wanted,
                          std::min(this->settings.minimumHold, this->settings.maximumHold), now);
 }
 
-// What a home keeps for its own callers. Homes have parts of their own; an entry that is none would
-// starve while all homes are busy, so it may get at a quarter of each part.
+// Returns the units that a home keeps for its own callers. An entry that is not a home has no part
+// and would starve while all homes are busy, so a quarter of each part is available to it.
 std::uint64_t QuotaNode::keptFrom(const VmId &borrower, const Account &account, std::uint64_t part,
                                   std::uint64_t ownDemand) const
 {
@@ -286,17 +288,17 @@
         return;
     Account &account = known->second;
     account.bucket.settle(account.rate.ledger, now);
-    Share &share = grant.dimension == Dimension::InFlight ? account.slots : account.rate;
-    share.ledger.accept(lender, grant, now);
+    Share &limitState = grant.dimension == Dimension::InFlight ? account.slots : account.rate;
+    limitState.ledger.accept(lender, grant, now);
 }
 
-void QuotaNode::writeStatement(const QuotaMessage &hello, Outbox &outbox, Instant now)
+void QuotaNode::writeStatement(const QuotaMessage &request, Outbox &outbox, Instant now)
 {
-    QuotaMessage &answer = this->messageTo(hello.from, outbox);
+    QuotaMessage &answer = this->messageTo(request.from, outbox);
     answer.statement = true;
     for (const auto &[key, account] : this->accounts) {
-        for (const Share *share : {&account.slots, &account.rate}) {
-            if (const auto holding = share->ledger.holdingOf(key, hello.from, now))
+        for (const Share *limitState : {&account.slots, &account.rate}) {
+            if (const auto holding = limitState->ledger.holdingOf(key, request.from, now))
                 answer.holdings.push_back(*holding);
         }
     }
@@ -308,8 +310,8 @@
         return;
     for (const QuotaHolding &holding : message.holdings) {
         Account &account = this->accountOf(holding.key, Duration(0), now);
-        Share &share = holding.dimension == Dimension::InFlight ? account.slots : account.rate;
-        share.ledger.adopt(message.from, holding, now);
+        Share &limitState = holding.dimension == Dimension::InFlight ? account.slots : account.rate;
+        limitState.ledger.adopt(message.from, holding, now);
     }
     this->endRecoveryIfKnown(now);
 }
--- a/src/coordination/quota/QuotaNode.h
+++ b/src/coordination/quota/QuotaNode.h
@@ -1,9 +1,10 @@
-// Global limits as one entry keeps them: spends its own slices, borrows from the homes of an
-// account when it runs short, and lends as a home itself. One object a process, for all accounts.
+// Enforces the global limits at one entry: spends its own part, borrows from the other homes of an
+// account when demand exceeds it, and lends units as a home. One object per process serves all
+// accounts.
 //
 // Order of calls: construct; configure with the roster; setRow for each row of the table; then
-// tick every tickInterval or so, receive for each message, and for requests setDemand (what waits),
-// tryStart, charge, finish. Messages returned are to be sent; any of them may get lost.
+// tick about every tickInterval, receive for each message, and for requests setDemand (those that
+// wait), tryStart, charge, finish. The caller sends the returned messages; any of them may be lost.
 #pragma once
 
 #include "coordination/quota/Homes.h"
@@ -23,11 +24,11 @@
 
 constexpr state::Duration tickInterval = std::chrono::milliseconds(250);
 
-// What an account wants at this entry beyond what runs already.
+// Demand of an account at this entry.
 struct QuotaDemand
 {
     std::uint64_t waitingRequests = 0;
-    std::uint64_t tokensPerSecond = 0; // offered lately, running ones included
+    std::uint64_t tokensPerSecond = 0; // recent offered load, running requests included
     state::Instant latestDeadline;     // of the waiting requests
 
     auto operator<=>(const QuotaDemand &) const = default;
@@ -43,7 +44,7 @@
     std::uint64_t running = 0;
     std::uint64_t ownRate = 0; // tokens a second, not lent
     std::uint64_t borrowedRate = 0;
-    double tokens = 0; // that may be spent now
+    double tokens = 0; // available now; below 0 while overdrawn
 
     auto operator<=>(const QuotaView &) const = default;
 };
@@ -54,32 +55,32 @@
     QuotaNode(state::VmId self, std::uint64_t incarnation, QuotaSettings settings,
               state::Instant start);
 
-    // `age`: for how long the roster has been in force; it lets parts that the entry gains by it
-    // rise sooner. A lower version than the known one is ignored.
+    // `age`: how long the roster has been in force; it shortens the delay before a larger part
+    // takes effect. A roster whose version is not newer than the known one is ignored.
     void configure(const Roster &next, state::Duration age, state::Instant now);
     void setRow(const state::TableRow &row, state::Instant now);
     void removeRow(const state::TableKey &key, state::Instant now);
 
-    // Takes a slot until finish, and the tokens for good. A row without a limit always starts.
+    // Takes a slot until finish, and spends the tokens. A row without limits always starts.
     QuotaVerdict tryStart(QuotaKey key, std::uint64_t tokens, state::Instant deadline,
                           state::Instant now);
-    // Tokens beyond those given to tryStart, as they are made.
+    // Spends tokens beyond those given to tryStart, as they are generated.
     void charge(QuotaKey key, std::uint64_t tokens, state::Instant now);
-    // With the same deadline as tryStart.
+    // `deadline`: the same as for tryStart.
     void finish(QuotaKey key, state::Instant deadline);
     void setDemand(QuotaKey key, const QuotaDemand &demand);
 
     std::vector<OutgoingQuotaMessage> tick(state::Instant now);
     std::vector<OutgoingQuotaMessage> receive(const QuotaMessage &message, state::Instant now);
 
-    // The entries to which callers of the account are best steered, first the best.
+    // The preferred entries for callers of the account, best first.
     std::vector<state::VmId> homes(QuotaKey key) const;
     QuotaView view(QuotaKey key, state::Instant now);
     bool isRecovering() const { return this->recovering; }
     std::size_t accountsHeld() const { return this->accounts.size(); }
 
 private:
-    // One limit of one account.
+    // The state of one limit of one account.
     struct Share
     {
         explicit Share(Dimension dimension)
@@ -105,22 +106,23 @@
         QuotaDemand demand;
     };
 
-    // What a share needs in all, and what of it can't be given back.
+    // The loans that a limit needs, and which of them can't be returned.
     struct Need
     {
-        std::uint64_t units = 0;   // wanted on loan
-        std::uint64_t keep = 0;    // not given back up to that; at least `units`
-        std::uint64_t inUse = 0;   // running on loan
-        state::Instant lastsUntil; // for those in use
-        state::Duration hold{0};   // to ask for
+        std::uint64_t units = 0;   // to be borrowed
+        std::uint64_t keep = 0;    // loans up to this are not returned; at least `units`
+        std::uint64_t inUse = 0;   // borrowed units with running requests
+        state::Instant lastsUntil; // latest deadline on the units in use
+        state::Duration hold{0};   // duration to request
     };
 
     using Outbox = std::map<state::VmId, QuotaMessage>;
 
-    Account &accountOf(QuotaKey key, state::Duration riseDelay, state::Instant now);
+    Account &accountOf(QuotaKey key, state::Duration increaseDelay, state::Instant now);
     state::Duration settleTime() const;
     bool splitsAlike(const QuotaLimits &left, const QuotaLimits &right) const;
-    void updateParts(QuotaKey key, Account &account, state::Duration riseDelay, state::Instant now);
+    void updateParts(QuotaKey key, Account &account, state::Duration increaseDelay,
+                     state::Instant now);
     std::uint32_t homeCountOf(const QuotaLimits &limits) const;
     QuotaLimits limitsOf(QuotaKey key) const;
     std::uint16_t positionOf(const state::VmId &entry) const;
@@ -132,24 +134,25 @@
     void refillAsks(state::Instant now);
     Need slotNeed(const Account &account, state::Instant now) const;
     Need rateNeed(const Account &account, state::Instant now) const;
-    void planAsks(QuotaKey key, const std::vector<std::uint16_t> &homes, Share &share,
+    void planAsks(QuotaKey key, const std::vector<std::uint16_t> &homes, Share &limitState,
                   const Need &need, Outbox &outbox, state::Instant now);
-    void renew(QuotaKey key, Share &share, const Need &need, Outbox &outbox, state::Instant now);
-    void askMore(QuotaKey key, const std::vector<std::uint16_t> &homes, Share &share,
+    void renew(QuotaKey key, Share &limitState, const Need &need, Outbox &outbox,
+               state::Instant now);
+    void askMore(QuotaKey key, const std::vector<std::uint16_t> &homes, Share &limitState,
                  const Need &need, Outbox &outbox, state::Instant now);
-    void sendAsk(QuotaKey key, Share &share, const state::VmId &lender, std::uint64_t units,
+    void sendAsk(QuotaKey key, Share &limitState, const state::VmId &lender, std::uint64_t units,
                  const Need &need, Outbox &outbox, state::Instant now);
 
     bool greet(const QuotaMessage &message, state::Instant now);
-    void answerAsk(const state::VmId &borrower, const QuotaAsk &ask, Outbox &outbox,
+    void answerAsk(const state::VmId &borrower, const QuotaAsk &request, Outbox &outbox,
                    state::Instant now);
-    std::optional<QuotaGrant> lendSlots(const state::VmId &borrower, const QuotaAsk &ask,
+    std::optional<QuotaGrant> lendSlots(const state::VmId &borrower, const QuotaAsk &request,
                                         Account &account, state::Instant now);
-    std::optional<QuotaGrant> lendRate(const state::VmId &borrower, const QuotaAsk &ask,
+    std::optional<QuotaGrant> lendRate(const state::VmId &borrower, const QuotaAsk &request,
                                        Account &account, state::Instant now);
     void acceptGrant(const state::VmId &lender, const QuotaGrant &grant, state::Instant now);
     void adoptStatement(const QuotaMessage &message, state::Instant now);
-    void writeStatement(const QuotaMessage &hello, Outbox &outbox, state::Instant now);
+    void writeStatement(const QuotaMessage &request, Outbox &outbox, state::Instant now);
     void sayHello(Outbox &outbox, state::Instant now);
     void endRecoveryIfKnown(state::Instant now);
     QuotaMessage &messageTo(const state::VmId &peer, Outbox &outbox) const;
@@ -160,17 +163,18 @@
     QuotaSettings settings;
     Roster roster;
     std::unordered_map<QuotaKey, QuotaLimits> rows; // the whole table
-    // Only accounts of which this entry is a home, or that want something here.
+    // Only accounts of which this entry is a home, or that have had requests here.
     std::unordered_map<QuotaKey, Account> accounts;
-    std::set<QuotaKey> active; // accounts that tick looks at
-    QuotaKey askedLast = 0;    // where the turn of the accounts stands
+    std::set<QuotaKey> active; // accounts that tick processes
+    QuotaKey askedLast = 0;    // round-robin position over the accounts
     double asksLeft;
     state::Instant asksFilledTo{};
     std::uint64_t nextSequence = 1;
-    std::map<state::VmId, std::uint64_t> peerIncarnations; // highest seen
+    std::map<state::VmId, std::uint64_t> peerIncarnations; // highest seen of each peer
 
-    // After a start nobody here knows what an earlier process lent. It lends nothing and spends
-    // only its floors until every entry of the roster told what it holds, or all loans have ended.
+    // After a start, the loans that an earlier process gave are unknown. The entry lends nothing
+    // and spends only its floors until every entry of the roster has stated what it holds, or until
+    // all loans have expired.
     bool recovering = true;
     state::Instant recoveredAt;
     std::set<state::VmId> unheard;
--- a/src/coordination/quota/QuotaTypes.h
+++ b/src/coordination/quota/QuotaTypes.h
@@ -1,5 +1,5 @@
 // Values of the quota protocol. A global limit is split into parts, one for each home entry of the
-// account; a home is the broker of its part and lends slices of it to entries with more demand.
+// account. A home manages its part and lends units of it to entries with more demand.
 #pragma once
 
 #include "state/Ids.h"
@@ -15,17 +15,17 @@
 
 namespace lavenderthread::coordination::quota {
 
-// Stands for a table key in messages; 64 bits of XXH64 over account and work class.
+// Identifies a table key in messages: the 64-bit XXH64 of account and work class.
 using QuotaKey = std::uint64_t;
 
 QuotaKey quotaKeyOf(const state::TableKey &key);
 
 enum class Dimension : std::uint8_t {
-    InFlight,  // units are requests at once
-    TokenRate, // units are tokens a second
+    InFlight,  // unit: concurrent requests
+    TokenRate, // unit: tokens per second
 };
 
-// 0 means "no limit", as in the table.
+// 0 means no limit, as in the table.
 struct QuotaLimits
 {
     std::uint64_t inFlight = 0;
@@ -36,36 +36,38 @@
 
 struct QuotaSettings
 {
-    // Longest time for which a slice is lent without renewal. A request may start on a borrowed
-    // slot only if its deadline lies before the end of the loan; a lost borrower's slots come back
-    // after this time at the latest.
+    // Longest duration of a loan without renewal. A request may start on a borrowed slot only if
+    // its deadline lies before the end of the loan. The slots of a borrower that failed return to
+    // the home after this time at the latest.
     state::Duration maximumHold = std::chrono::seconds(120);
-    // Loans of token rate, and the least hold of slots.
+    // Duration of token rate loans, and the shortest duration of slot loans.
     state::Duration minimumHold = std::chrono::seconds(10);
-    // How often loans are looked at to give something back, and how often they are renewed if
-    // nothing changes. The latter is how long it takes a borrower to hear that a home is short.
+    // How often loans are checked for units to return, and how often they are renewed if nothing
+    // changes. The latter bounds how late a borrower learns that a home needs its units back.
     state::Duration renewInterval = std::chrono::seconds(2);
     state::Duration steadyRenewInterval = std::chrono::seconds(4);
-    // An ask without an answer is repeated after this time.
+    // A loan request without an answer is repeated after this time.
     state::Duration answerTimeout = std::chrono::seconds(1);
-    // A home that had nothing to lend is asked again after this time.
+    // A home that had nothing to lend gets another loan request after this time.
     state::Duration retryInterval = std::chrono::seconds(4);
-    // Asks for more that an entry sends, for all its accounts. In a large fleet thousands of small
-    // accounts peak for a moment; this bounds what that costs, and who waits for it waits in turn.
+    // Rate and burst of requests for additional units that an entry sends, over all its accounts.
+    // In a large fleet thousands of small accounts have short peaks; this bounds the message cost.
+    // Accounts that wait for it are served in turn.
     std::uint32_t asksPerSecond = 8;
     std::uint32_t asksAtOnce = 64;
-    // Homes asked at once on the chance that they have something.
+    // Most homes that get a loan request for one limit at the same time. Those that are not known
+    // to have spare units may have none.
     std::uint32_t homesAskedAtOnce = 6;
-    // An entry that lost its part by a change of the roster knows of it within this time, or
-    // admits nothing (the table is not confirmed fresh).
+    // An entry that lost its part by a change of the roster learns of it within this time, or
+    // admits nothing because its table is not confirmed fresh.
     state::Duration rosterFreshness = std::chrono::seconds(12);
-    // Tokens that may be saved up, as the time in which the limit would give them.
+    // Capacity of the token bucket, as the time in which the limit fills it.
     state::Duration burst = std::chrono::seconds(1);
     std::uint32_t maximumHomes = 18;
 };
 
-// The clocks of two VMs differ in speed by less than one part in this many. Whoever uses a slice
-// counts its time shorter by that, whoever lent it longer, so the two never use it both.
+// The clock rates of two VMs differ by less than 1/clockDriftDivisor. The borrower shortens the
+// duration of a loan by that and the lender lengthens it, so they never use the same units at once.
 constexpr std::int64_t clockDriftParts = 64;
 
 constexpr state::Duration shortenedByDrift(state::Duration length)
@@ -78,8 +80,9 @@
     return length + length / clockDriftParts + state::Duration(1);
 }
 
-// A list with a length of two bytes. Most messages carry one or two entries, and the eight bytes of
-// cereal's own lengths were a sixth of them; a hostile length can't ask for much memory either.
+// Serializes a list with a length of two bytes. Most messages carry one or two elements, and
+// cereal's lengths of eight bytes made up a sixth of them. The short length also bounds the memory
+// that a malicious message can make the receiver allocate.
 template <typename Archive, typename Value>
 void serializeShort(Archive &archive, std::vector<Value> &values)
 {
@@ -90,13 +93,13 @@
         archive(value);
 }
 
-// Borrower to home: how much it wants to hold of that home's part, all told. Less than it holds
-// gives the rest back: it stopped using the rest before it sent this.
+// Borrower to home: the total that it wants to hold of that home's part. Less than it holds returns
+// the rest, which it stopped using before it sent this.
 struct QuotaAsk
 {
     QuotaKey key = 0;
     Dimension dimension = Dimension::InFlight;
-    std::uint64_t sequence = 0; // grows with every ask of one incarnation of the borrower
+    std::uint64_t sequence = 0; // increases with each request of one borrower incarnation
     std::uint64_t units = 0;
     std::uint32_t holdMilliseconds = 0;
 
@@ -109,16 +112,17 @@
     }
 };
 
-// Home to borrower: what it holds from now on, for so long since it sent the ask.
+// Home to borrower: the units that it holds from now on. The duration counts from the time at which
+// it sent the loan request.
 struct QuotaGrant
 {
     QuotaKey key = 0;
     Dimension dimension = Dimension::InFlight;
-    std::uint64_t sequence = 0; // of the ask
+    std::uint64_t sequence = 0; // of the loan request that this answers
     std::uint64_t units = 0;
-    std::uint64_t spare = 0; // what the home could lend besides
+    std::uint64_t spare = 0; // units that the home could lend in addition
     std::uint32_t holdMilliseconds = 0;
-    bool recalled = false; // the home needs it itself: give back what is not in use
+    bool recalled = false; // the home needs the units: return those not in use
 
     auto operator<=>(const QuotaGrant &) const = default;
 
@@ -130,7 +134,7 @@
     }
 };
 
-// One loan that a borrower still holds of a home which lost its memory.
+// One loan that a borrower still holds from a home that restarted and lost its records.
 struct QuotaHolding
 {
     QuotaKey key = 0;
@@ -147,16 +151,16 @@
     }
 };
 
-// Everything that one process has to tell another at once; all its accounts share the message.
+// All that one process sends to another at a time, combined for all accounts.
 struct QuotaMessage
 {
     state::VmId from;
     std::uint64_t incarnation = 0; // of the sender; grows with each start
-    // Of the receiver as the sender knows it. Grants and statements for an earlier process are not
-    // taken: its successor may have asked under the same numbers.
+    // Of the receiver, as the sender knows it. Grants and statements for an earlier process are
+    // dropped: its successor may have sent requests with the same sequence numbers.
     std::uint64_t forIncarnation = 0;
-    bool hello = false;     // the sender lost its loans out and asks for a statement
-    bool statement = false; // `holdings` is all that the sender holds of the receiver
+    bool hello = false;     // the sender lost its records and requests a statement
+    bool statement = false; // `holdings` is all that the sender borrows from the receiver
     std::vector<QuotaHolding> holdings;
     std::vector<QuotaAsk> asks;
     std::vector<QuotaGrant> grants;
--- a/src/coordination/quota/ShareNode.cpp
+++ b/src/coordination/quota/ShareNode.cpp
@@ -1,4 +1,4 @@
-// Reports, sums, and what follows from them.
+// Exchanges reports and sums, and computes the weights from them.
 #include "coordination/quota/ShareNode.h"
 
 #include <xxhash.h>
@@ -15,18 +15,18 @@
 
 namespace {
 
-constexpr Duration leastInterval = std::chrono::milliseconds(500);
-// A broker hears at most some forty reports a second of one key, however many entries report.
+constexpr Duration minimumInterval = std::chrono::milliseconds(500);
+// Limits a broker to about 40 reports per second for one key, however many entries report.
 constexpr Duration intervalPerReporter = std::chrono::milliseconds(25);
 constexpr int intervalsToExpiry = 3;
-// A new backlog is reported with every tick at first: what is wrong then weighs on the next 30 s.
+// A new backlog is reported with every tick at first, because an error then affects the next 30 s.
 constexpr Duration fastStart = std::chrono::milliseconds(1'500);
-constexpr Duration sumKeptWithoutNews = std::chrono::seconds(30);
+constexpr Duration completeSumLifetime = std::chrono::seconds(30);
 constexpr double weightUnit = 1'000; // thousandths in a report of the fleet's weight
 
 Duration intervalFor(std::size_t reporters)
 {
-    return std::max<Duration>(leastInterval, reporters * intervalPerReporter);
+    return std::max<Duration>(minimumInterval, reporters * intervalPerReporter);
 }
 
 } // namespace
@@ -51,8 +51,8 @@
     for (auto &[key, entry] : this->reported) {
         if (now < entry.nextReport)
             continue;
-        const bool starts = now < entry.since + fastStart;
-        entry.nextReport = now + (starts ? Duration(0) : entry.interval);
+        const bool inFastStart = now < entry.since + fastStart;
+        entry.nextReport = now + (inFastStart ? Duration(0) : entry.interval);
         const ShareReport report{key, this->valueOf(key, entry)};
         const VmId &broker = this->brokerOf(key);
         if (broker == this->self)
@@ -137,7 +137,7 @@
     for (const auto &[reporter, contribution] : entry.contributions)
         sum.sum += contribution.value;
     sum.reporters = static_cast<std::uint16_t>(entry.contributions.size());
-    // Everyone reports once an interval, so a new broker has heard all after two at most.
+    // Every entry reports once per interval, so a new broker has all reports after two at most.
     sum.settled = now >= entry.since + 2 * interval;
     return sum;
 }
@@ -149,9 +149,9 @@
         return;
     Reported &entry = found->second;
     entry.interval = intervalFor(sum.reporters);
-    // A broker that just took over knows of few reporters. Its sum would make each of them claim
-    // nearly the whole share; the last settled one is closer.
-    const bool known = entry.settled && now < entry.heardAt + sumKeptWithoutNews;
+    // A broker that just took over has few reports. Its sum would make each reporter claim nearly
+    // the whole share; the last complete sum is closer.
+    const bool known = entry.settled && now < entry.heardAt + completeSumLifetime;
     if (!sum.settled && known && sum.sum < entry.sum)
         return;
     entry.settled = sum.settled;
--- a/src/coordination/quota/ShareNode.h
+++ b/src/coordination/quota/ShareNode.h
@@ -1,9 +1,9 @@
-// Weights as shares of the whole fleet: each entry learns how many others have a backlog of the
-// same account, and how much weight waits in all, so that its own queue and its own pace add up
-// with those of the others to what the table says.
+// Applies weights to the whole fleet. Each entry learns how many entries have a backlog of the same
+// account, and the total weight that waits. It scales its own queue weights and its own work by
+// them, so that all entries together follow the weights of the table.
 //
-// Each sum is kept by one live entry, its broker, found by rendezvous hash. A wrong or lost broker
-// makes shares uneven for a moment and breaks nothing: the limits are kept by QuotaNode.
+// Each sum is kept by one live entry, its broker, chosen by rendezvous hashing. A wrong or failed
+// broker only makes shares uneven for a short time: QuotaNode enforces the limits.
 #pragma once
 
 #include "coordination/quota/QuotaTypes.h"
@@ -15,7 +15,7 @@
 
 namespace lavenderthread::coordination::quota {
 
-// Key of the sum of all waiting weight, beside the keys of accounts.
+// Key of the sum of all waiting weight; every other key is that of an account.
 constexpr QuotaKey fleetKey = 0;
 
 struct ShareReport
@@ -37,7 +37,7 @@
     QuotaKey key = 0;
     std::uint64_t sum = 0;
     std::uint16_t reporters = 0;
-    bool settled = false; // the broker has heard everyone since it took over
+    bool settled = false; // all entries have reported since the broker took over
 
     auto operator<=>(const ShareSum &) const = default;
 
@@ -81,24 +81,24 @@
     {}
 
     void setLive(std::vector<state::VmId> entries) { this->live = std::move(entries); }
-    // Weight 0: the account has no backlog here.
+    // `weight`: 0 if the account has no backlog here.
     void setBacklog(QuotaKey key, std::uint32_t weight, state::Instant now);
 
     std::vector<OutgoingShareMessage> tick(state::Instant now);
     std::vector<OutgoingShareMessage> receive(const ShareMessage &message, state::Instant now);
 
-    // The part of the account's weight that counts here; for the entry's fair queue.
+    // The fraction of the account's weight that applies at this entry, for its fair queue.
     double weightHere(QuotaKey key) const;
-    // The part of the fleet's work that this entry should have under way, 0 to 1.
+    // The fraction of the fleet's work that this entry should have in progress, 0 to 1.
     double fleetShare() const;
 
 private:
-    // What this entry reports of one key, and what it heard of the sum.
+    // The report of this entry for one key, and the last sum that it received.
     struct Reported
     {
         std::uint32_t weight = 0;
-        std::uint64_t sum = 0; // 0: not heard yet
-        bool settled = false;  // the sum came from a broker that had heard everyone
+        std::uint64_t sum = 0; // 0: not received yet
+        bool settled = false;  // the broker of the sum had reports of all entries
         state::Instant since;
         state::Instant heardAt;
         state::Instant nextReport{};
@@ -111,7 +111,7 @@
         state::Instant until;
     };
 
-    // What this entry keeps as a broker of one key.
+    // The state of this entry as the broker of one key.
     struct Brokered
     {
         std::map<state::VmId, Contribution> contributions;
--- a/src/coordination/quota/SlotPool.cpp
+++ b/src/coordination/quota/SlotPool.cpp
@@ -1,4 +1,4 @@
-// Fitting of running requests to slots.
+// Assigns running requests to slots.
 #include "coordination/quota/SlotPool.h"
 
 #include <algorithm>
--- a/src/coordination/quota/SlotPool.h
+++ b/src/coordination/quota/SlotPool.h
@@ -1,4 +1,4 @@
-// Requests of one account that run at this entry, fitted to the slots that it owns and borrowed.
+// Assigns the running requests of one account to the own and borrowed slots of this entry.
 #pragma once
 
 #include "coordination/quota/PartLedger.h"
@@ -12,14 +12,14 @@
 class SlotPool
 {
 public:
-    // False if no slot is free for that long. Requests with the latest deadlines are counted on
-    // own slots; each of the others needs a borrowed slot that outlasts its deadline.
+    // Returns false if no slot is free until `deadline`. Requests with the latest deadlines use own
+    // slots; each of the others needs a borrowed slot that outlasts its deadline.
     bool start(state::Instant deadline, const PartLedger &ledger, state::Instant now);
     void startUnlimited(state::Instant deadline) { this->insert(deadline); }
     void finish(state::Instant deadline);
 
     std::uint64_t running() const { return this->deadlines.size(); }
-    // The latest deadline among requests that don't fit on `own` slots; `now` if all do.
+    // The latest deadline of the requests that exceed the `own` slots; `now` if none does.
     state::Instant latestOnBorrowed(std::uint64_t own, state::Instant now) const;
 
 private:
--- a/src/coordination/quota/TokenBucket.cpp
+++ b/src/coordination/quota/TokenBucket.cpp
@@ -1,4 +1,4 @@
-// Filling and spending, in whole millionths of a token so that nothing is lost by rounding.
+// Fills and spends in integer millionths of a token, so that no rounding errors add up.
 #include "coordination/quota/TokenBucket.h"
 
 #include <algorithm>
@@ -26,16 +26,16 @@
         this->started = true;
         this->filledTo = now;
     }
-    // A loan that ended since the last call filled the bucket only until then.
+    // A loan that ended since the last call changed the fill rate at its end.
     std::vector<Instant> ends;
-    const auto note = [&](Instant end) {
+    const auto addEnd = [&](Instant end) {
         if (end > this->filledTo && end < now)
             ends.push_back(end);
     };
     for (const auto &[lender, loan] : ledger.loansHeld())
-        note(loan.until);
+        addEnd(loan.until);
     for (const auto &[borrower, loan] : ledger.loansGiven())
-        note(loan.until);
+        addEnd(loan.until);
     std::sort(ends.begin(), ends.end());
     for (const Instant end : ends)
         this->fillTo(ledger, end);
@@ -49,9 +49,9 @@
     const std::int64_t rate = rateOf(ledger, this->filledTo);
     const std::int64_t missing =
             std::max<std::int64_t>(this->size(ledger, this->filledTo) - this->microTokens, 0);
-    // Compared by time first: rate times a long idle time would not fit the integer.
-    const bool fills = rate > 0 && elapsed.count() > missing / rate;
-    this->microTokens += fills ? missing : rate * elapsed.count();
+    // Compares times first: the rate times a long idle time would overflow the integer.
+    const bool becomesFull = rate > 0 && elapsed.count() > missing / rate;
+    this->microTokens += becomesFull ? missing : rate * elapsed.count();
     this->filledTo = std::max(this->filledTo, now);
 }
 
--- a/src/coordination/quota/TokenBucket.h
+++ b/src/coordination/quota/TokenBucket.h
@@ -1,5 +1,4 @@
-// Tokens that this entry may spend for one account: a bucket filled at the rate that the entry owns
-// and borrowed.
+// Token bucket of one account at this entry, filled at the sum of own and borrowed rate.
 #pragma once
 
 #include "coordination/quota/PartLedger.h"
@@ -9,9 +8,10 @@
 
 namespace lavenderthread::coordination::quota {
 
-// Over all entries the fill rates add up to the limit and the sizes to `burst` times the limit, so
-// what is spent in any time W is at most limit * (W + burst), plus what requests larger than a
-// bucket overdraw: one such request an entry, which then waits until it is paid back.
+// Over all entries the fill rates add up to the limit and the sizes to `burst` times the limit. The
+// tokens spent in any time W are therefore at most limit * (W + burst), plus the overdraft of
+// requests larger than a bucket: one such request per entry, which then waits until the bucket has
+// made up for it.
 class TokenBucket
 {
 public:
@@ -19,11 +19,11 @@
         : burst(burst)
     {}
 
-    // Fills up to `now`. Call it before and after each change of the ledger.
+    // Adds the tokens earned until `now`. Call it before and after each change of the ledger.
     void settle(const PartLedger &ledger, state::Instant now);
     // A request larger than the bucket may start when the bucket is full, and overdraws it.
     bool trySpend(std::uint64_t tokens, const PartLedger &ledger, state::Instant now);
-    // Tokens already used; may overdraw.
+    // Takes tokens that were used already; may overdraw the bucket.
     void spend(std::uint64_t tokens);
     double level() const;
 
--- a/tests/coordination/quota/PartLedgerTest.cpp
+++ b/tests/coordination/quota/PartLedgerTest.cpp
@@ -1,4 +1,4 @@
-// Each safeguard of a loan alone, with the one message order or clock that it is there for.
+// Tests each safeguard of a loan separately, with the message order or clock that requires it.
 #include "coordination/quota/QuotaNode.h"
 
 #include <cppunit/TestFixture.h>
@@ -30,8 +30,8 @@
     return node;
 }
 
-// A borrower of that incarnation which waits for the answer to its first ask.
-QuotaNode askingBorrower(std::uint64_t incarnation)
+// Returns a borrower that waits for the answer to its first loan request.
+QuotaNode borrowerAwaitingGrant(std::uint64_t incarnation)
 {
     QuotaNode node = nodeOf(borrower, incarnation, 8);
     QuotaMessage statement;
@@ -67,24 +67,24 @@
 class PartLedgerTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(PartLedgerTest);
-    CPPUNIT_TEST(homeWaitsLongerThanBorrowerUses);
-    CPPUNIT_TEST(grantOfAnotherProcessIsNotTaken);
+    CPPUNIT_TEST(homeCountsLoanLongerThanBorrower);
+    CPPUNIT_TEST(grantOfAnotherProcessIsDropped);
     CPPUNIT_TEST(borrowedSlotOutlastsItsRequest);
-    CPPUNIT_TEST(loansOfShrunkPartRunOut);
-    CPPUNIT_TEST(lentRateTakesItsSavingsAlong);
+    CPPUNIT_TEST(loansOfShrunkPartExpire);
+    CPPUNIT_TEST(lendingRateReducesSavedTokens);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // The borrower's clock is slow and the home's is fast, each by less than half the drift allowed
-    // for. The borrower uses the slot till its own clock says the end; were the home to count no
-    // longer than it lent, it would use the slot meanwhile.
-    void homeWaitsLongerThanBorrowerUses()
+    // The borrower's clock is slow and the home's is fast, each by less than half the allowed
+    // drift. The borrower uses the slot until the loan ends by its own clock. If the home did not
+    // lengthen the loan, it would use the slot at the same time.
+    void homeCountsLoanLongerThanBorrower()
     {
         PartLedger lender(Dimension::InFlight);
         lender.setOwnPart(8, 0s, start);
         PartLedger user(Dimension::InFlight);
-        const QuotaAsk ask = user.ask(1, home, 4, 1, 60s, start);
-        user.accept(home, *lender.answer(borrower, ask, 0, 120s, start), start);
+        const QuotaAsk request = user.ask(1, home, 4, 1, 60s, start);
+        user.accept(home, *lender.answer(borrower, request, 0, 120s, start), start);
         const auto elapsedLocally = [](state::Duration real, int parts) {
             return real + real * parts / (2 * clockDriftParts + 1);
         };
@@ -96,18 +96,19 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, lender.lent(start + 62s));
     }
 
-    // A grant was on its way when the borrower, or the home, restarted. The home of today knows
-    // nothing of it and lends the same units again; numbers of asks begin anew, so they can't tell.
-    void grantOfAnotherProcessIsNotTaken()
+    // The borrower or the home restarts while a grant is in transit. The restarted home does not
+    // know the grant and lends the same units again. Sequence numbers start again with each
+    // process, so they don't detect this.
+    void grantOfAnotherProcessIsDropped()
     {
-        const QuotaNode asking = askingBorrower(2);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, borrowedAfter(asking, grantFrom(5, 2)));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, borrowedAfter(asking, grantFrom(5, 1)));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, borrowedAfter(asking, grantFrom(4, 2)));
+        const QuotaNode waitingBorrower = borrowerAwaitingGrant(2);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, borrowedAfter(waitingBorrower, grantFrom(5, 2)));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, borrowedAfter(waitingBorrower, grantFrom(5, 1)));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, borrowedAfter(waitingBorrower, grantFrom(4, 2)));
     }
 
-    // A request runs past the end of the loan that it started on. The home uses the slot again
-    // while it runs, and one request more than the limit is under way.
+    // Guards against a request that runs past the end of its loan: the home would use the slot
+    // again at the same time, and one request more than the limit would run.
     void borrowedSlotOutlastsItsRequest()
     {
         PartLedger ledger(Dimension::InFlight);
@@ -119,12 +120,12 @@
         CPPUNIT_ASSERT(!pool.start(start + 11s, ledger, start));
         CPPUNIT_ASSERT(pool.start(start + 9s, ledger, start));
         pool.finish(start + 9s);
-        CPPUNIT_ASSERT(!pool.start(start + 61s, ledger, start)); // would push 60 s off the own one
+        CPPUNIT_ASSERT(!pool.start(start + 61s, ledger, start)); // 60 s would lose the own slot
     }
 
-    // A change of the roster takes most of a home's part away while it is lent. Borrowers renew as
-    // ever; if they were let to, the units would be used here and by the new home for good.
-    void loansOfShrunkPartRunOut()
+    // A roster change removes most of a home's part while it is lent. If borrowers could still
+    // renew their loans, the units would be used here and by the new home indefinitely.
+    void loansOfShrunkPartExpire()
     {
         PartLedger lender(Dimension::InFlight);
         lender.setOwnPart(8, 0s, start);
@@ -136,9 +137,9 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, lender.lent(start + 11s));
     }
 
-    // A home saved tokens up and then lends most of its rate. The borrower saves up at that rate
-    // too; were the home to keep what it saved, both together could spend more than the limit.
-    void lentRateTakesItsSavingsAlong()
+    // A home with a full bucket lends most of its rate, and the borrower fills a bucket at that
+    // rate too. If the home kept all its tokens, both together could spend more than the limit.
+    void lendingRateReducesSavedTokens()
     {
         PartLedger lender(Dimension::TokenRate);
         lender.setOwnPart(100, 0s, start);
--- a/tests/coordination/quota/QuotaFleet.cpp
+++ b/tests/coordination/quota/QuotaFleet.cpp
@@ -1,4 +1,4 @@
-// Event loop, network and watch of the fleet.
+// Event loop, network and limit checks of the simulated fleet.
 #include "coordination/quota/QuotaFleet.h"
 
 #include <algorithm>
@@ -48,8 +48,8 @@
     self.quota =
             std::make_unique<QuotaNode>(fleetVm(node), self.incarnation, this->settings, local);
     self.quota->configure(this->roster, rosterAge, local);
-    for (const auto &[account, watch] : this->watched)
-        self.quota->setRow(watch.row, local);
+    for (const auto &[account, totals] : this->watched)
+        self.quota->setRow(totals.row, local);
     const Duration jitter(static_cast<std::int64_t>(this->random() % tickInterval.count()));
     this->at(jitter, [this, node, incarnation = self.incarnation] {
         if (this->nodes[node].incarnation == incarnation)
@@ -59,10 +59,10 @@
 
 void QuotaFleet::setRow(const state::TableRow &row)
 {
-    Watched &watch = this->watched[row.key];
-    watch.row = row;
-    watch.tokenLevel = static_cast<double>(row.tokensPerSecondLimit);
-    watch.filledTo = this->now;
+    Watched &totals = this->watched[row.key];
+    totals.row = row;
+    totals.tokenLevel = static_cast<double>(row.tokensPerSecondLimit);
+    totals.filledTo = this->now;
     for (std::size_t node = 0; node < this->nodes.size(); ++node) {
         if (this->isUp(node))
             this->nodes[node].quota->setRow(row, this->localNow(node));
@@ -197,7 +197,7 @@
         ++self.running[account];
         this->watchStart(account, request.tokens);
         const Duration length = std::min(request.service, request.deadline - local);
-        // A slow clock lets a request run a little longer than its deadline says.
+        // With a slow clock, a request runs a little longer than its deadline allows.
         const auto real = Duration(
                 static_cast<std::int64_t>(static_cast<double>(length.count()) / self.clockRate));
         this->at(real, [this, node, account, request, incarnation = self.incarnation] {
@@ -213,23 +213,23 @@
 
 void QuotaFleet::watchStart(const TableKey &account, std::uint64_t tokens)
 {
-    Watched &watch = this->watched.at(account);
-    ++watch.started;
-    const std::uint64_t limit = watch.row.inFlightLimit;
+    Watched &totals = this->watched.at(account);
+    ++totals.started;
+    const std::uint64_t limit = totals.row.inFlightLimit;
     const std::uint64_t all = this->running(account);
     if (limit != 0 && all > limit)
         this->excessSlots = std::max(this->excessSlots, all - limit);
-    const auto rate = static_cast<double>(watch.row.tokensPerSecondLimit);
+    const auto rate = static_cast<double>(totals.row.tokensPerSecondLimit);
     if (rate == 0)
         return;
-    const double elapsed = std::chrono::duration<double>(this->now - watch.filledTo).count();
+    const double elapsed = std::chrono::duration<double>(this->now - totals.filledTo).count();
     const double full = rate * std::chrono::duration<double>(this->settings.burst).count();
-    // A clock that runs fast fills by its own seconds.
+    // A node with a fast clock fills its bucket faster.
     const double fastest = rate * (1 + this->faults.clockSkew);
-    watch.tokenLevel = std::min(watch.tokenLevel + fastest * elapsed, full);
-    watch.tokenLevel -= static_cast<double>(tokens);
-    watch.filledTo = this->now;
-    this->excessTokens = std::max(this->excessTokens, -watch.tokenLevel);
+    totals.tokenLevel = std::min(totals.tokenLevel + fastest * elapsed, full);
+    totals.tokenLevel -= static_cast<double>(tokens);
+    totals.filledTo = this->now;
+    this->excessTokens = std::max(this->excessTokens, -totals.tokenLevel);
 }
 
 void QuotaFleet::send(std::size_t from, const std::vector<OutgoingQuotaMessage> &messages)
@@ -260,7 +260,7 @@
         return;
     this->send(to, this->nodes[to].quota->receive(message, this->localNow(to)));
     for (const auto &grant : message.grants) {
-        for (const auto &[account, watch] : this->watched) {
+        for (const auto &[account, totals] : this->watched) {
             if (quotaKeyOf(account) == grant.key)
                 this->startWaiting(to, account);
         }
--- a/tests/coordination/quota/QuotaFleet.h
+++ b/tests/coordination/quota/QuotaFleet.h
@@ -1,5 +1,6 @@
-// Several quota nodes in made-up time with a network that loses, delays and doubles messages,
-// clocks that differ, crashes and partitions. It watches the sum over all nodes at every start.
+// Simulates several quota nodes in virtual time, with a network that loses, delays and duplicates
+// messages, different clock rates, crashes and partitions. Each start of a request checks the sums
+// over all nodes against the limits.
 #pragma once
 
 #include "coordination/quota/QuotaNode.h"
@@ -22,7 +23,7 @@
     double doubled = 0;
     state::Duration leastDelay = std::chrono::milliseconds(1);
     state::Duration mostDelay = std::chrono::milliseconds(1);
-    double clockSkew = 0; // each clock runs at most that part too fast or too slow
+    double clockSkew = 0; // largest relative error of each clock rate, fast or slow
 };
 
 // Requests of one account that arrive at one node.
@@ -48,7 +49,7 @@
     void run(state::Duration length);
     void at(state::Duration fromNow, std::function<void()> action);
 
-    void crash(std::size_t node); // its requests end, its memory is lost
+    void crash(std::size_t node); // its requests end and its state is lost
     void restart(std::size_t node);
     bool isUp(std::size_t node) const { return this->nodes[node].quota != nullptr; }
     // Messages pass only between nodes of the same side.
@@ -60,7 +61,7 @@
 
     std::uint64_t running(const state::TableKey &account) const;
     std::uint64_t started(const state::TableKey &account) const;
-    // Worst seen so far: requests above the limit, and tokens above rate * (time + burst).
+    // Largest excess so far: requests above the limit, and tokens above rate * (time + burst).
     std::uint64_t worstExcessSlots() const { return this->excessSlots; }
     double worstExcessTokens() const { return this->excessTokens; }
     QuotaNode &quota(std::size_t node) { return *this->nodes[node].quota; }
@@ -102,7 +103,7 @@
     struct Watched
     {
         state::TableRow row;
-        double tokenLevel = 0; // of one bucket for the whole fleet; falls below 0 on an excess
+        double tokenLevel = 0; // of one bucket for the whole fleet; below 0 on an excess
         state::Instant filledTo{};
         std::uint64_t started = 0;
     };
--- a/tests/coordination/quota/QuotaNodeTest.cpp
+++ b/tests/coordination/quota/QuotaNodeTest.cpp
@@ -1,5 +1,5 @@
-// Global limits over many entries: they hold whatever fails, and what is idle in one place is used
-// in another. Every table row runs in made-up time with a fixed seed.
+// Tests global limits over many entries: they hold under all failures, and units that are idle at
+// one entry are used at another. Every case runs in virtual time with a fixed seed.
 #include "coordination/quota/QuotaFleet.h"
 
 #include <cppunit/TestFixture.h>
@@ -46,21 +46,21 @@
 {
     CPPUNIT_TEST_SUITE(QuotaNodeTest);
     CPPUNIT_TEST(lendsToEntryWithDemand);
-    CPPUNIT_TEST(giveBackServesHomeAgain);
+    CPPUNIT_TEST(returnedSlotsServeHomeAgain);
     CPPUNIT_TEST(holdsLimitUnderEveryFault);
     CPPUNIT_TEST(holdsLimitOverRandomSchedules);
-    CPPUNIT_TEST(partitionNeverSplitsLimitTwice);
+    CPPUNIT_TEST(partitionNeverGrantsLimitTwice);
     CPPUNIT_TEST(lostHomeCostsOnlyItsPart);
-    CPPUNIT_TEST(busyHomesLeaveSomeToOthers);
-    CPPUNIT_TEST(deadBorrowerGivesBackInTheEnd);
-    CPPUNIT_TEST(gainedPartWaitsForItsFormerHome);
+    CPPUNIT_TEST(busyHomesLendToOtherEntries);
+    CPPUNIT_TEST(slotsOfFailedBorrowerReturn);
+    CPPUNIT_TEST(gainedPartWaitsForPreviousHome);
     CPPUNIT_TEST(raisedAndLoweredLimitsTakeEffect);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     void lendsToEntryWithDemand()
     {
-        // One hot entry, be it a home or not, gets all but the floors and that within 2 s.
+        // One entry with high demand, home or not, gets all units but the floors within 2 s.
         for (std::size_t hot = 0; hot < fleetSize; hot += 5) {
             QuotaFleet fleet(fleetSize, {}, {}, hot);
             fleet.setRow(rowOf("a", 200, 40'000));
@@ -72,10 +72,10 @@
         }
     }
 
-    // Callers of entry 1 fill the whole limit, then callers of all the others come. These wait at
-    // their homes until borrowed slots come back; the homes ask for them, and within seconds each
-    // has its own part again.
-    void giveBackServesHomeAgain()
+    // Callers of entry 1 use the whole limit, then callers of the other entries arrive and wait at
+    // their homes for borrowed slots. The homes recall these slots, and within seconds each has its
+    // own part again.
+    void returnedSlotsServeHomeAgain()
     {
         QuotaFleet fleet(fleetSize, {}, {}, 3);
         fleet.setRow(rowOf("a", 180));
@@ -89,13 +89,13 @@
             const QuotaView view = fleet.quota(node).view(key, fleet.localNow(node));
             CPPUNIT_ASSERT_MESSAGE(std::to_string(view.running), view.running >= 9);
         }
-        assertWithin(fleet, "given back");
+        assertWithin(fleet, "returned slots");
     }
 
-    // The caller sees requests start and finish, never more of them at once than the limit, and
-    // never more tokens. Messages are lost, late, doubled and out of order, clocks differ, and
-    // entries crash with slices out and in; no unit may be used in two places, since a unit is
-    // only lent by who has it and comes back by word of the borrower or after its time.
+    // Requests start and finish, and neither requests nor tokens exceed the limit. Messages are
+    // lost, delayed, duplicated and reordered, clocks differ, and entries crash with loans given
+    // and taken. No unit may be used in two places: only its holder lends it, and it returns when
+    // the borrower says so or when the loan expires.
     void holdsLimitUnderEveryFault()
     {
         struct Row
@@ -107,8 +107,8 @@
         const Row rows[] = {
                 {"none", {}, false},
                 {"lost", {0.3, 0, 1ms, 2ms, 0}, false},
-                {"late", {0, 0, 1ms, 3s, 0}, false},
-                {"doubled", {0, 0.5, 1ms, 800ms, 0}, false},
+                {"delayed", {0, 0, 1ms, 3s, 0}, false},
+                {"duplicated", {0, 0.5, 1ms, 800ms, 0}, false},
                 {"clocks differ", {0, 0, 1ms, 5ms, 0.007}, false},
                 {"crashes", {0, 0, 1ms, 5ms, 0}, true},
                 {"everything", {0.2, 0.2, 1ms, 2s, 0.007}, true},
@@ -168,10 +168,10 @@
         }
     }
 
-    // Callers on both sides of a split press as hard as they can for a minute. A broker chosen by
-    // the live view would stand on both sides and give the whole limit twice; parts only add up to
-    // it once, and each side goes on with its own.
-    void partitionNeverSplitsLimitTwice()
+    // Entries on both sides of a partition have more demand than the limit. A broker chosen by the
+    // view of live entries would exist on both sides and grant the whole limit twice. The parts add
+    // up to the limit only once, and each side continues with its own parts.
+    void partitionNeverGrantsLimitTwice()
     {
         QuotaFleet fleet(fleetSize, {}, {}, 5);
         fleet.setRow(rowOf("a", 180, 18'000));
@@ -186,32 +186,33 @@
         assertWithin(fleet, "partition");
     }
 
-    // All homes are busy beyond their parts, and callers come to an entry that is none. They wait
-    // for the first slot that falls free; were it taken again at once, they would wait for ever.
-    void busyHomesLeaveSomeToOthers()
+    // The demand at all homes exceeds their parts, and callers arrive at an entry that is not a
+    // home. They wait for the first free slot. If a home reused it at once, they would wait
+    // forever.
+    void busyHomesLendToOtherEntries()
     {
         QuotaFleet fleet(fleetSize, {}, {}, 10);
         fleet.setRow(rowOf("a", 32));
         const auto homes = fleet.quota(0).homes(quotaKeyOf(accountKey("a")));
         CPPUNIT_ASSERT_EQUAL(std::size_t{8}, homes.size());
-        std::size_t outsider = 0;
+        std::size_t nonHome = 0;
         for (std::size_t node = 0; node < fleetSize; ++node) {
             const bool isHome = std::find(homes.begin(), homes.end(), fleetVm(node)) != homes.end();
-            outsider = isHome ? outsider : node;
+            nonHome = isHome ? nonHome : node;
             if (isHome)
                 fleet.add({node, accountKey("a"), 20, 1s, 10s, 0});
         }
         fleet.run(5s);
-        fleet.add({outsider, accountKey("a"), 40, 1s, 10s, 0});
+        fleet.add({nonHome, accountKey("a"), 40, 1s, 10s, 0});
         fleet.run(10s);
         const auto key = quotaKeyOf(accountKey("a"));
-        const QuotaView view = fleet.quota(outsider).view(key, fleet.localNow(outsider));
+        const QuotaView view = fleet.quota(nonHome).view(key, fleet.localNow(nonHome));
         CPPUNIT_ASSERT_MESSAGE(std::to_string(view.running), view.running >= 4);
         assertWithin(fleet, "busy homes");
     }
 
-    // A home dies for good. Its part is out of use until the roster changes, and no more than that:
-    // the callers of the others see the limit shrink by one part of eighteen.
+    // A home fails permanently. Only its part is unused until the roster changes: for the callers
+    // of the other entries, the limit shrinks by one part of eighteen.
     void lostHomeCostsOnlyItsPart()
     {
         QuotaFleet fleet(fleetSize, {}, {}, 6);
@@ -225,9 +226,9 @@
         assertWithin(fleet, "lost home");
     }
 
-    // An entry dies with slots on loan. Its callers are gone with it; the homes can't know and keep
-    // the slots until the deadlines that it asked for have passed, then they use them again.
-    void deadBorrowerGivesBackInTheEnd()
+    // An entry fails with borrowed slots, and its requests end with it. The homes can't know that,
+    // so they use the slots again only after the requested durations of the loans.
+    void slotsOfFailedBorrowerReturn()
     {
         QuotaFleet fleet(3, {}, {}, 7);
         fleet.setRow(rowOf("a", 30));
@@ -244,10 +245,10 @@
         assertWithin(fleet, "dead borrower");
     }
 
-    // The operators take a VM out of the roster and the news reaches the entries at different
-    // times. Entry 3 still spends its part when the others have heard; they take it over only when
-    // it must have heard too, and what it lent has come back.
-    void gainedPartWaitsForItsFormerHome()
+    // The operators remove a VM from the roster, and the entries learn of it at different times.
+    // Entry 3 still uses its part when the others know. They take the part over only when entry 3
+    // must know too and the loans that it gave have ended.
+    void gainedPartWaitsForPreviousHome()
     {
         QuotaSettings settings;
         settings.maximumHold = 6s;
@@ -260,10 +261,10 @@
             fleet.configure({0, 1, 2}, 2, node);
         fleet.at(11s, [&fleet] { fleet.configure({0, 1, 2}, 2, 3); });
         fleet.run(16s);
-        assertWithin(fleet, "before the rise");
+        assertWithin(fleet, "before the increase");
         fleet.run(10s);
         CPPUNIT_ASSERT(fleet.running(accountKey("a")) >= 38);
-        assertWithin(fleet, "after the rise");
+        assertWithin(fleet, "after the increase");
     }
 
     void raisedAndLoweredLimitsTakeEffect()
--- a/tests/coordination/quota/ShareNodeTest.cpp
+++ b/tests/coordination/quota/ShareNodeTest.cpp
@@ -1,5 +1,6 @@
-// Weights hold over the whole fleet while every account has a backlog, wherever its callers are.
-// The fleet is a fluid: each entry works at its share of the capacity, and splits that by weight.
+// Tests that work is divided by weight over the whole fleet while every account has a backlog,
+// wherever its callers are. The fleet is a fluid model: each entry serves at its share of the
+// capacity, which it divides by weight.
 #include "coordination/quota/ShareNode.h"
 #include "coordination/quota/QuotaFleet.h"
 
@@ -36,7 +37,7 @@
         for (std::size_t account = 0; account < accountCount; ++account) {
             this->weights.push_back(1 + static_cast<std::uint32_t>(this->random() % 20));
             this->total += this->weights.back();
-            // From one entry to all of them.
+            // A backlog at one to all entries.
             const std::size_t spread = 1 + this->random() % entryCount;
             std::vector<bool> has(entryCount);
             for (std::size_t copy = 0; copy < spread; ++copy)
@@ -46,12 +47,12 @@
         this->publishLive();
     }
 
-    void lose(std::size_t entry)
+    void failEntry(std::size_t entry)
     {
         std::erase(this->live, fleetVm(entry));
         for (std::vector<bool> &has : this->backlog)
             has[entry] = false;
-        this->dead = entry;
+        this->failed = entry;
         this->publishLive();
     }
 
@@ -61,10 +62,10 @@
             this->work(coordinated);
     }
 
-    // Worst relative error of an account's share over any 30 s so far.
-    double worstError() const { return this->worst; }
+    // Largest relative error of an account's share over any 30 s so far.
+    double largestShareError() const { return this->largestError; }
     double utilisation() const { return this->done / static_cast<double>(this->steps); }
-    // Whether an account would have no backlog left without that entry.
+    // Whether an account would have no backlog without this entry.
     bool hasBacklogOnlyAt(std::size_t entry) const
     {
         for (const std::vector<bool> &has : this->backlog) {
@@ -89,7 +90,7 @@
         std::deque<OutgoingShareMessage> queue;
         const auto put = [&](std::vector<OutgoingShareMessage> messages) {
             for (OutgoingShareMessage &message : messages) {
-                if (this->random() % 10 != 0) // one in ten is lost
+                if (this->random() % 10 != 0) // 10% are lost
                     queue.push_back(std::move(message));
             }
         };
@@ -98,14 +99,14 @@
                 this->entries[entry].setBacklog(
                         account + 1, this->backlog[account][entry] ? this->weights[account] : 0,
                         this->now);
-            if (entry != this->dead)
+            if (entry != this->failed)
                 put(this->entries[entry].tick(this->now));
         }
         while (!queue.empty()) {
             const OutgoingShareMessage message = queue.front();
             queue.pop_front();
             for (std::size_t entry = 0; entry < entryCount; ++entry) {
-                if (message.to == fleetVm(entry) && entry != this->dead)
+                if (message.to == fleetVm(entry) && entry != this->failed)
                     put(this->entries[entry].receive(message.message, this->now));
             }
         }
@@ -162,8 +163,10 @@
         if (this->window.size() > windowSteps)
             this->window.pop_front();
         for (std::size_t account = 0; account < accountCount; ++account) {
-            const double due = this->weights[account] / this->total;
-            this->worst = std::max(this->worst, std::abs(this->sums[account] / all - due) / due);
+            const double expectedShare = this->weights[account] / this->total;
+            this->largestError =
+                    std::max(this->largestError,
+                             std::abs(this->sums[account] / all - expectedShare) / expectedShare);
         }
     }
 
@@ -173,11 +176,11 @@
     std::vector<std::uint32_t> weights;
     std::vector<std::vector<bool>> backlog; // by account, then entry
     double total = 0;
-    std::size_t dead = entryCount; // none
+    std::size_t failed = entryCount; // none
     Instant now{100s};
     std::deque<std::vector<double>> window;
     std::vector<double> sums = std::vector<double>(accountCount); // over the window
-    double worst = 0;
+    double largestError = 0;
     double done = 0;
     int steps = 0;
 };
@@ -192,26 +195,27 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Ten accounts wait at some of eighteen entries each, at other ones. Left alone, an account
-    // with callers at many entries would get several times its share.
+    // Each of ten accounts has a backlog at a different subset of eighteen entries. Without
+    // coordination, an account with callers at many entries would get several times its share.
     void sharesMatchWeightsFromTheFirstSecond()
     {
         for (std::uint64_t seed = 1; seed <= 20; ++seed) {
             FluidFleet fleet(seed);
             fleet.run(60s);
             const std::string text = std::to_string(seed) + ": "
-                                     + std::to_string(fleet.worstError()) + ", used "
+                                     + std::to_string(fleet.largestShareError()) + ", used "
                                      + std::to_string(fleet.utilisation());
-            CPPUNIT_ASSERT_MESSAGE(text, fleet.worstError() < 0.05);
+            CPPUNIT_ASSERT_MESSAGE(text, fleet.largestShareError() < 0.05);
             CPPUNIT_ASSERT_MESSAGE(text, fleet.utilisation() > 0.97);
-            FluidFleet alone(seed);
-            alone.run(60s, false);
-            CPPUNIT_ASSERT_MESSAGE(text, alone.worstError() > 5 * fleet.worstError());
+            FluidFleet uncoordinated(seed);
+            uncoordinated.run(60s, false);
+            CPPUNIT_ASSERT_MESSAGE(text, uncoordinated.largestShareError()
+                                                 > 5 * fleet.largestShareError());
         }
     }
 
-    // An entry dies that is the broker of some sums and has a backlog of its own. The new brokers
-    // have heard of nobody at first; meanwhile the entries go by the last sum they know.
+    // An entry fails that is the broker of some sums and has a backlog of its own. The new brokers
+    // have no reports at first; meanwhile the entries use the last complete sum.
     void sharesMatchWeightsWhenEntriesAreLost()
     {
         for (std::uint64_t seed = 1; seed <= 6; ++seed) {
@@ -220,11 +224,11 @@
                 if (fleet.hasBacklogOnlyAt(lost))
                     continue;
                 fleet.run(35s);
-                fleet.lose(lost);
+                fleet.failEntry(lost);
                 fleet.run(40s);
                 const std::string text = std::to_string(seed) + ", lost " + std::to_string(lost)
-                                         + ": " + std::to_string(fleet.worstError());
-                CPPUNIT_ASSERT_MESSAGE(text, fleet.worstError() < 0.05);
+                                         + ": " + std::to_string(fleet.largestShareError());
+                CPPUNIT_ASSERT_MESSAGE(text, fleet.largestShareError() < 0.05);
             }
         }
     }
--- a/tests/coordination/quota/TokenBucketTest.cpp
+++ b/tests/coordination/quota/TokenBucketTest.cpp
@@ -1,4 +1,4 @@
-// Buckets fill by what the entry may use at each moment, to the microsecond.
+// Tests that buckets fill at the rate that the entry may use at each microsecond.
 #include "coordination/quota/TokenBucket.h"
 
 #include <cppunit/TestFixture.h>
@@ -15,7 +15,7 @@
 {
     CPPUNIT_TEST_SUITE(TokenBucketTest);
     CPPUNIT_TEST(endedLoanFillsOnlyUntilItsEnd);
-    CPPUNIT_TEST(requestLargerThanBucketIsPaidBack);
+    CPPUNIT_TEST(overdraftDelaysNextRequest);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -30,11 +30,11 @@
         ledger.ask(1, home, 50, 7, 5s, start);
         ledger.accept(home, {1, Dimension::TokenRate, 7, 50, 0, 5'000, false}, start);
         bucket.settle(ledger, start + 60s);
-        // 100 a second for 60 s, and 50 a second for 5 s less the drift.
+        // 100 per second for 60 s, and 50 per second for 5 s minus the drift.
         CPPUNIT_ASSERT_DOUBLES_EQUAL(6'000 + 50 * (5 - 5 / 64.0), bucket.level(), 0.01);
     }
 
-    void requestLargerThanBucketIsPaidBack()
+    void overdraftDelaysNextRequest()
     {
         const Instant start{10s};
         PartLedger ledger(Dimension::TokenRate);
