--- a/src/program/AnswerWriter.cpp
+++ b/src/program/AnswerWriter.cpp
@@ -1,4 +1,4 @@
-// Server-sent events with sealed ids, or one JSON answer.
+// Writes server-sent events with sealed ids, or one JSON answer.
 #include "program/AnswerWriter.h"
 
 namespace lavenderthread::program {
@@ -18,8 +18,8 @@
 AnswerWriter::Verdict AnswerWriter::take(const protocol::EngineLine &line,
                                          const protocol::EventId &position)
 {
-    // An engine that resumes may send lines again, and lines of an attempt given up on may still
-    // come in: without this check the caller would read tokens twice or of two answers mixed.
+    // A resuming engine may send lines again, and lines of an abandoned attempt may still arrive.
+    // Without this check the caller would get tokens twice or a mix of two answers.
     if (line.offset < this->next)
         return Verdict::Repeated;
     if (line.offset > this->next)
--- a/src/program/Caller.cpp
+++ b/src/program/Caller.cpp
@@ -1,4 +1,4 @@
-// Tries entries in the order of the directory's answer until the call has ended.
+// Tries the entries in the order that the directory gives until the call has ended.
 #include "program/Caller.h"
 
 #include "program/Clock.h"
@@ -27,9 +27,9 @@
 constexpr milliseconds directoryTimeout{2'000};
 constexpr milliseconds directoryRetry{100};
 constexpr milliseconds longestPause{1'000};
-constexpr milliseconds inProgressPause{500}; // an entry that was killed is given up in seconds
+constexpr milliseconds inProgressPause{500}; // a killed entry is considered lost within seconds
 
-// Doubles with each try.
+// Exponential backoff: doubles with each try.
 milliseconds pauseAfter(const CallerSettings &settings, int attempt)
 {
     return std::min(settings.pauseBetweenTries * (1 << std::min(attempt, 8)), longestPause);
@@ -48,7 +48,7 @@
     return problem ? json::value() : value;
 }
 
-// Fills in how the call failed, from problem+json.
+// Sets the fields for a failed call from a problem+json body.
 void takeProblem(CallResult &result, std::string_view body)
 {
     const json::value problem = parseOrNull(body);
@@ -72,7 +72,7 @@
 enum class NextStep {
     End,
     TryElsewhere,
-    AskAgain, // for the outcome of an earlier copy; no further try
+    AskAgain, // for the outcome of an earlier copy; does not count as a try
 };
 
 NextStep nextStepAfter(const protocol::HttpResponse &answer, const CallResult &result,
@@ -80,8 +80,8 @@
 {
     if (answer.status == 503 && result.ran == "no")
         return NextStep::TryElsewhere;
-    // An earlier copy is running, or was lost with its entry. Either way its key gets an outcome:
-    // the answer of the one run, or leave to run.
+    // An earlier copy is running or was lost together with its entry. In both cases the key is
+    // settled later: with the answer of the only run, or with permission to run.
     const bool inProgress =
             answer.status == 409 && textMember(parseOrNull(answer.body), "title") == "in-progress";
     return inProgress && repeatable ? NextStep::AskAgain : NextStep::End;
@@ -100,7 +100,7 @@
     return textMember(choice, "text");
 }
 
-// One streamed completion over however many connections it takes.
+// One streamed completion, over as many connections as it needs.
 class StreamedCall
 {
 public:
@@ -110,7 +110,7 @@
         , started(monotonicNow())
     {}
 
-    // True if the call has ended, well or not.
+    // True if the call has ended, successfully or not.
     asio::awaitable<bool> tryAt(const state::Address &entry)
     {
         protocol::HttpRequest attempt = this->request;
@@ -151,7 +151,8 @@
             body += *piece.value();
         }
         takeProblem(this->result, body);
-        // Only "no" may be tried elsewhere; 503 says that elsewhere, or later, may help.
+        // Retry only if the request did not run and status 503 says that another entry or a later
+        // attempt may succeed.
         co_return !(this->result.status == 503 && this->result.ran == "no");
     }
 
@@ -237,12 +238,12 @@
         this->entriesExpire = monotonicNow() + milliseconds(ttl->get_int64());
         break;
     }
-    co_return this->entries; // an old answer is better than none
+    co_return this->entries; // an outdated directory is better than none
 }
 
 asio::awaitable<std::vector<state::Address>> Caller::awaitDirectory(state::Instant deadline)
 {
-    // A fleet that is starting names nobody for a moment; that is no failed try.
+    // The directory of a starting fleet is empty at first; this does not count as a failed try.
     while (true) {
         std::vector<state::Address> order = co_await this->directory();
         if (!order.empty() || remaining(deadline) == milliseconds(0))
--- a/src/program/CompletionRelay.cpp
+++ b/src/program/CompletionRelay.cpp
@@ -1,4 +1,4 @@
-// The life of one completion: placement, attempts, answer, and the account of how it went.
+// Stages of one completion: placement, attempts, answer, and the reported outcome.
 #include "program/CompletionRelay.h"
 
 #include "program/AnswerWriter.h"
@@ -18,7 +18,7 @@
 
 constexpr std::chrono::milliseconds retryAfterFailure{500};
 
-// Everything about one request while it is relayed.
+// State of one request while it is relayed.
 class RelayedRequest
 {
 public:
@@ -69,10 +69,10 @@
 
 private:
     enum class AttemptEnd {
-        Ended, // the request is over, well or not
+        Ended, // the request has succeeded or failed for good
         SliceDone,
         Unreachable, // no connection to the engine
-        NotRun,      // the engine refused it
+        NotRun,      // the engine refused the request
         Lost,
     };
 
@@ -83,8 +83,8 @@
         return end == AttemptEnd::NotRun ? AttemptFailure::NotRun : AttemptFailure::Lost;
     }
 
-    // Reads on in the stream that the caller's former entry started. False if the engine has lost
-    // it.
+    // Continues the stream that the caller's previous entry started. False if the engine no longer
+    // has it.
     asio::awaitable<bool> joinRunningStream()
     {
         Placement placement;
@@ -128,9 +128,9 @@
                              this->hooks.scheduler.isAlive);
         const auto opened = co_await engine.open();
         if (!opened) {
-            this->noteFailure(opened.error());
-            const bool late = co_await this->endIfLate();
-            if (late)
+            this->recordFailure(opened.error());
+            const bool deadlinePassed = co_await this->failIfDeadlinePassed();
+            if (deadlinePassed)
                 co_return AttemptEnd::Ended;
             if (opened.error().step == transport::connectStep)
                 co_return AttemptEnd::Unreachable;
@@ -141,8 +141,8 @@
         co_return co_await this->relay(engine, placement, stream);
     }
 
-    // "No" stays true only while no byte of the request has gone to an engine.
-    void noteFailure(const state::Error &error)
+    // Ran::No holds only as long as no engine can have started the request.
+    void recordFailure(const state::Error &error)
     {
         const bool unseen =
                 error.step == transport::connectStep || error.code == state::ErrorCode::Overloaded;
@@ -159,10 +159,10 @@
         while (true) {
             const auto lines = co_await engine.readLines();
             if (!lines) {
-                this->noteFailure(lines.error());
-                const bool late = co_await this->endIfLate();
+                this->recordFailure(lines.error());
+                const bool deadlinePassed = co_await this->failIfDeadlinePassed();
                 engine.cancel();
-                co_return late ? AttemptEnd::Ended : AttemptEnd::Lost;
+                co_return deadlinePassed ? AttemptEnd::Ended : AttemptEnd::Lost;
             }
             for (const protocol::EngineLine &line : lines.value()) {
                 if (line.done && !placement.final) {
@@ -180,8 +180,8 @@
                     co_return AttemptEnd::Lost;
                 }
             }
-            const bool callerThere = co_await this->writer.flush();
-            if (!callerThere)
+            const bool callerConnected = co_await this->writer.flush();
+            if (!callerConnected)
                 co_return AttemptEnd::Ended;
             this->hooks.scheduler.progressed(this->request.id, placement.attempt,
                                              this->writer.nextOffset());
@@ -197,7 +197,7 @@
         return verdict;
     }
 
-    asio::awaitable<bool> endIfLate()
+    asio::awaitable<bool> failIfDeadlinePassed()
     {
         if (remaining(this->request.deadline) > std::chrono::milliseconds(0))
             co_return false;
@@ -206,12 +206,12 @@
         co_return true;
     }
 
-    // The scheduler's refusal, with what is known here of whether the request ran.
+    // Answers with the scheduler's refusal and with what is known about whether the request ran.
     asio::awaitable<void> giveUp(Problem problem)
     {
         problem.ran = this->ran;
         if (this->resume && this->ran == Ran::No)
-            problem.ran = Ran::Unknown; // it ran elsewhere before: "no" would be a lie
+            problem.ran = Ran::Unknown; // it ran elsewhere before, so "no" would be false
         co_await this->fail(std::move(problem));
     }
 
@@ -250,8 +250,8 @@
     std::shared_ptr<const std::string> body;
     AnswerWriter writer;
     std::uint64_t firstOffset;
-    Ran ran = Ran::No; // only ever goes No -> Unknown -> Yes
-    // Where the last slice went: the next one to the same engine need not carry the body again.
+    Ran ran = Ran::No; // only changes in the order No, Unknown, Yes
+    // Target of the last slice. The next slice to the same engine can omit the body.
     state::EndpointId sliceEndpoint;
     std::string sliceStream;
     unsigned attempts = 0;
@@ -261,7 +261,7 @@
     std::optional<state::Error> lastError;
 };
 
-// Opens the caller's Last-Event-ID. An id of another account is refused like a forged one.
+// Unseals the caller's Last-Event-ID. Another account's id is refused like a forged one.
 state::Result<std::optional<protocol::EventId>> resumePoint(const Settings &settings,
                                                             const protocol::HttpRequest &request,
                                                             const state::ClientAccountId &account)
--- a/src/program/CompletionRelay.h
+++ b/src/program/CompletionRelay.h
@@ -1,5 +1,5 @@
-// Carries one completion from the caller to an engine and the answer back: whole, in order, once,
-// and ended at the deadline. Goes on at another engine when one is lost.
+// Relays a completion request to an engine and the answer back: complete, in order, each token
+// once, and ended at the deadline. Continues at another engine when one is lost.
 #pragma once
 
 #include "program/Scheduler.h"
@@ -16,17 +16,17 @@
 
 namespace lavenderthread::program {
 
-// How one request went, for metrics, logs and the burn report.
+// Result of one request, for metrics, logs and the burn report.
 struct CompletionOutcome
 {
     state::RequestId id;
     state::ClientAccountId account;
     state::WorkClass workClass;
     std::uint32_t promptTokens = 0;
-    std::uint64_t outputTokens = 0; // handed to the caller
-    unsigned status = 0;            // of the answer's head; 0 if the caller went away before it
+    std::uint64_t outputTokens = 0; // sent to the caller
+    unsigned status = 0;            // of the answer's head; 0 if the caller disconnected before it
     protocol::Ran ran = protocol::Ran::No;
-    bool whole = false; // the caller got all of the answer
+    bool whole = false; // the caller received the complete answer
     unsigned attempts = 0;
     state::Duration firstToken{}; // from arrival; 0 if none
     state::Duration total{};
@@ -46,7 +46,7 @@
 
     CompletionRelay(const Settings &settings, Hooks hooks);
 
-    // Answers the exchange in every case. `account` has been authenticated.
+    // Always answers the exchange. `account` is already authenticated.
     boost::asio::awaitable<void> run(transport::HttpExchange &exchange,
                                      protocol::CompletionKind kind,
                                      const AccountSetting &account) const;
--- a/src/program/EngineAttempt.cpp
+++ b/src/program/EngineAttempt.cpp
@@ -1,4 +1,4 @@
-// The entry's side of the engines' stream contract (docs/contracts/endpoint.md).
+// The entry's side of the engine stream protocol (docs/contracts/endpoint.md).
 #include "program/EngineAttempt.h"
 
 #include "program/Clock.h"
@@ -21,7 +21,7 @@
 
 constexpr milliseconds aliveCheckInterval{250};
 constexpr milliseconds cancelTimeout{2'000};
-constexpr std::size_t longestLine = 1U << 20U; // bytes; a longer one is a broken engine
+constexpr std::size_t longestLine = 1U << 20U; // bytes; only a faulty engine sends a longer one
 constexpr unsigned statusOk = 200;
 constexpr unsigned statusNotFound = 404;
 constexpr unsigned statusUnavailable = 503;
@@ -38,7 +38,7 @@
     asio::steady_timer timer;
     transport::HttpAnswerStream stream;
     bool done = false;
-    bool lost = false; // the endpoint is no longer known alive
+    bool lost = false; // the endpoint is no longer known to be alive
 };
 
 EngineAttempt::EngineAttempt(asio::any_io_executor executor, AttemptRequest request,
@@ -101,9 +101,9 @@
         call = this->startCall(this->request.bodyOf.empty());
     }
     auto opened = co_await this->send(std::move(call));
-    const bool forgotten =
+    const bool bodyMissing =
             opened && opened.value().status() == statusNotFound && !this->request.bodyOf.empty();
-    if (forgotten) { // the engine no longer has the body of the slice before
+    if (bodyMissing) { // the engine no longer has the previous slice's body
         call = this->startCall(true);
         opened = co_await this->send(std::move(call));
     }
@@ -120,8 +120,9 @@
                                    "engine.open", "the engine answered " + std::to_string(status),
                                    peer);
     this->watch = std::make_shared<Watch>(this->executor, std::move(opened.value()));
-    // An engine that is cut off sends nothing, not even a reset, and a prompt of a million tokens
-    // is silent for long by itself. Only the fleet's word that the engine is gone tells them apart.
+    // An engine behind a network partition sends nothing, not even a reset, and prefilling a prompt
+    // of a million tokens also takes long without any data. Only the fleet membership distinguishes
+    // the two.
     asio::co_spawn(
             this->executor,
             [](std::shared_ptr<Watch> watch, state::EndpointDescription endpoint,
--- a/src/program/EngineAttempt.h
+++ b/src/program/EngineAttempt.h
@@ -1,5 +1,5 @@
-// One attempt of a request at one engine: opens the engine's stream, cuts it into lines, and gives
-// up when the engine falls silent or is no longer known alive.
+// One attempt of a request at one engine: opens the engine's stream, splits it into lines, and
+// fails when the engine sends nothing for too long or is no longer known to be alive.
 #pragma once
 
 #include "program/Settings.h"
@@ -24,10 +24,10 @@
     std::string stream; // the engine's stream id, unique for each attempt
     unsigned priority = 5;
     std::uint64_t resumeFrom = 0;
-    std::uint32_t spanFrom = 0; // part of the prompt to prefill; spanTo = 0 means all of it
+    std::uint32_t spanFrom = 0; // part of the prompt to prefill; spanTo = 0: the whole prompt
     std::uint32_t spanTo = 0;
-    std::string bodyOf;        // stream to this engine that carried the same body; empty if none
-    bool joinExisting = false; // read a stream that another entry started
+    std::string bodyOf;        // earlier stream to this engine with the same body; empty if none
+    bool joinExisting = false; // continue a stream that another entry started
     std::shared_ptr<const std::string> body; // the caller's, unchanged
     state::Instant deadline;
 };
@@ -35,7 +35,7 @@
 class EngineAttempt
 {
 public:
-    // `isAlive` is asked a few times a second while the attempt waits.
+    // `isAlive` is called a few times a second while the stream is open.
     EngineAttempt(boost::asio::any_io_executor executor, AttemptRequest request,
                   EndpointSettings settings,
                   std::function<bool(const state::EndpointDescription &)> isAlive);
@@ -43,16 +43,16 @@
     EngineAttempt(const EngineAttempt &) = delete;
     EngineAttempt &operator=(const EngineAttempt &) = delete;
 
-    // Errors: step transport::connectStep means that the engine has not seen the request;
-    // Overloaded that it refused without running it; NotFound that it doesn't know the stream.
+    // Errors: step transport::connectStep if the engine has not received the request; Overloaded if
+    // it refused the request without running it; NotFound if it doesn't know the stream.
     boost::asio::awaitable<state::Result<void>> open();
 
-    // The lines that have arrived, at least one. Errors: Unavailable, Timeout (deadline or
-    // silence), Corrupt. A stream that ends without its done line is Unavailable.
+    // Returns the lines that have arrived, at least one. Errors: Unavailable, also for a stream
+    // that ends without its done line; Timeout (deadline, or no data for too long); Corrupt.
     boost::asio::awaitable<state::Result<std::vector<protocol::EngineLine>>> readLines();
 
-    // Tells the engine to stop and free its memory; does not wait. Best effort: what stays behind
-    // ends at its own deadline and is found by the memory audit.
+    // Tells the engine to stop and free its memory; does not wait. Best effort: a stream that keeps
+    // running ends at its own deadline, and the memory audit finds it.
     void cancel();
 
 private:
@@ -60,14 +60,14 @@
     boost::asio::awaitable<state::Result<transport::HttpAnswerStream>>
     send(protocol::HttpRequest call) const;
 
-    struct Watch; // closes the stream when the endpoint is lost
+    struct Watch; // closes the stream when the endpoint is no longer alive
 
     boost::asio::any_io_executor executor;
     AttemptRequest request;
     EndpointSettings settings;
     std::function<bool(const state::EndpointDescription &)> isAlive;
     std::shared_ptr<Watch> watch;
-    std::string partial; // bytes of a line that is not yet whole
+    std::string partial; // start of an incomplete line
     bool sawToken = false;
     bool sawDone = false;
 };
--- a/src/program/Entry.cpp
+++ b/src/program/Entry.cpp
@@ -1,4 +1,4 @@
-// Routes of the entry.
+// The entry's HTTP routes.
 #include "program/Entry.h"
 
 #include "program/Clock.h"
@@ -44,7 +44,7 @@
     return limits;
 }
 
-// Counts one request for as long as it is worked on.
+// Counts one request as in flight during its lifetime.
 class InFlight
 {
 public:
@@ -163,8 +163,8 @@
         co_await exchange.respond(this->refuseElsewhere(account.id));
         co_return;
     }
-    // Under a table that may be outdated nothing new is admitted: an entry cut off from the control
-    // members would go on giving what the operators have taken back.
+    // Nothing new is admitted under a table that may be outdated: an entry without contact to the
+    // control members would continue to grant what the operators have revoked.
     if (this->hooks.admits && !this->hooks.admits()) {
         Problem problem{503, "table-not-fresh", "this entry has no confirmed table; use another",
                         Ran::No, retryStaleAfter};
--- a/src/program/Entry.h
+++ b/src/program/Entry.h
@@ -1,5 +1,4 @@
-// One entry: the HTTP face towards callers, operators and endpoints, and its way in and out of
-// service.
+// One entry: the HTTP server for callers, operators and endpoints, and the phases of its shutdown.
 #pragma once
 
 #include "program/CompletionRelay.h"
@@ -22,31 +21,34 @@
 
 namespace lavenderthread::program {
 
-// Only ever goes forward.
+// The phase of an entry. Only moves forward.
 enum class EntryPhase {
     Serving,
-    Leaving,  // out of the directory, still accepts: callers hold answers that name this entry
-    Refusing, // new requests are told to go elsewhere; those in flight finish
+    Leaving,  // no longer in the directory; still accepts, as callers have cached older directories
+    Refusing, // new requests are refused and sent elsewhere; those in flight finish
 };
 
 std::string_view toString(EntryPhase phase);
 
+// The entries that a client account should use.
 struct DirectoryAnswer
 {
     std::vector<state::Address> entries; // in the order in which the caller should try them
     std::chrono::milliseconds ttl{};
 };
 
+// Authenticates and dispatches requests to the completion and service relays, and serves the
+// directory, status and endpoint interfaces.
 class Entry : public std::enable_shared_from_this<Entry>
 {
 public:
-    // What the rest of the process supplies.
+    // Functions that the rest of the process supplies.
     struct Hooks
     {
         Scheduler scheduler;
         ClaimGate claims;
         std::function<DirectoryAnswer(const state::ClientAccountId &)> directory;
-        // An endpoint's news came in here; it is to be passed on to the other entries.
+        // Called with an endpoint's announcement; passes it on to the other entries.
         std::function<boost::asio::awaitable<state::Result<AnnounceAnswer>>(
                 state::EndpointDescription)>
                 announce;
@@ -54,11 +56,13 @@
         std::function<void(const state::LoadReport &)> loadReported;
         std::function<void(const state::EndpointId &, const protocol::CacheEventBatch &)>
                 cacheChanged;
-        // Accounts that operators have put in the catalog; beside those of the settings.
+        // Looks up an account in the operators' catalog; used in addition to the settings'
+        // accounts.
         std::function<std::optional<AccountSetting>(std::string_view key)> accountOfKey;
-        // False while the view of the table is not confirmed fresh.
+        // False while the view of the table is not confirmed to be up to date.
         std::function<bool()> admits;
-        // More routes, for example the operators'; false if the request is none of them.
+        // Handles further routes, such as the operators'; false if the request matches none of
+        // them.
         std::function<boost::asio::awaitable<bool>(transport::HttpExchange &,
                                                    const AccountSetting *)>
                 extraRoutes;
--- a/src/program/HeaderValues.cpp
+++ b/src/program/HeaderValues.cpp
@@ -1,4 +1,4 @@
-// Parsing of the callers' headers.
+// Parsers for the callers' headers.
 #include "program/HeaderValues.h"
 
 #include <charconv>
--- a/src/program/HeaderValues.h
+++ b/src/program/HeaderValues.h
@@ -1,4 +1,5 @@
-// What callers say in headers, checked: deadline, work class; and the answer when it is wrong.
+// Parses and checks the callers' headers (deadline, work class) and builds the answer to an invalid
+// request.
 #pragma once
 
 #include "protocol/HttpMessage.h"
@@ -10,14 +11,14 @@
 
 namespace lavenderthread::program {
 
-// `Deadline-Ms`, 1 to 86 400 000, or `standard`. Error: InvalidArgument.
+// The `Deadline-Ms` header, 1 to 86 400 000, or `standard` if absent. Error: InvalidArgument.
 state::Result<std::chrono::milliseconds> deadlineOf(const protocol::HttpRequest &request,
                                                     std::chrono::milliseconds standard);
 
-// `Work-Class`, "default" if absent.
+// The `Work-Class` header; "default" if it is absent, empty or too long.
 state::WorkClass workClassOf(const protocol::HttpRequest &request);
 
-// 400, 401 for a bad seal; the request has not run.
+// Status 400, or 401 for an invalid seal; says that the request has not run.
 protocol::Problem invalidRequest(const state::Error &error);
 
 } // namespace lavenderthread::program
--- a/src/program/RelayCodec.h
+++ b/src/program/RelayCodec.h
@@ -1,6 +1,6 @@
-// What a deployment's wire supplies to the product: how relayed requests, endpoints' answers,
-// configurations and the side doors look there. Implemented outside src/; the product decides on
-// these types and never sees the wire's names.
+// What a deployment's protocol supplies to the product: the formats of relayed requests, endpoints'
+// answers, configurations, and the operator, directory and readiness interfaces. Implemented
+// outside src/; the product works on these types and never sees the names used on the wire.
 #pragma once
 
 #include "coordination/routing/ReplicaChooser.h"
@@ -21,35 +21,35 @@
 
 namespace lavenderthread::program {
 
-// What a caller's request says of itself.
+// A caller's request, decoded.
 struct RelayRequest
 {
-    state::RequestId id;                                // of one attempt of the caller
+    state::RequestId id;                                // differs for each attempt of the caller
     std::string host;                                   // without a port
-    std::string accountKey;                             // empty: none was sent
-    std::optional<std::chrono::milliseconds> timeLimit; // that the caller waits
-    std::optional<std::uint64_t> resumeBehind;          // id of the last event that it has
+    std::string accountKey;                             // empty: no key was sent
+    std::optional<std::chrono::milliseconds> timeLimit; // how long the caller waits
+    std::optional<std::uint64_t> resumeBehind;          // id of the last event that the caller has
     state::ModelName model;
     std::uint32_t promptTokens = 0;
-    std::uint32_t outputTokens = 0; // at most
+    std::uint32_t outputTokens = 0; // upper limit
 };
 
-// How a request is handed to one endpoint.
+// Parameters for forwarding a request to one endpoint.
 struct ForwardTerms
 {
     std::chrono::milliseconds timeLeft{};
-    state::EndpointId endpoint;        // any other one refuses it
+    state::EndpointId endpoint;        // any other endpoint refuses the request
     state::ClientAccountId account;    // empty: none
-    std::optional<unsigned> priority;  // 0 first, 9 last
-    std::vector<HelperTarget> helpers; // engines that prefill a part each
+    std::optional<unsigned> priority;  // 0 (highest) to 9 (lowest)
+    std::vector<HelperTarget> helpers; // engines that each prefill a part of the prompt
     std::optional<std::uint64_t> resumeBehind;
 };
 
-// What the head of an endpoint's answer tells.
+// The head of an endpoint's answer, decoded.
 struct EndpointHead
 {
-    bool genuine = true; // it answers this request, and a success is sealed
-    bool notRun = false; // the endpoint promises that it has not run it
+    bool genuine = true; // it answers this request; a success has a valid seal
+    bool notRun = false; // the endpoint guarantees that it has not run the request
     std::optional<coordination::routing::ReplicaLoad> load;
     std::optional<state::Address> faulty; // another endpoint, whose failure caused the refusal
 };
@@ -57,23 +57,24 @@
 struct RelayRefusal
 {
     unsigned status = 503;
-    std::string detail;                                  // for a person
-    std::optional<std::chrono::milliseconds> retryAfter; // when to come back
+    std::string detail;                                  // human-readable
+    std::optional<std::chrono::milliseconds> retryAfter; // how long to wait before a retry
 };
 
-// Reservations of engine memory on this wire.
+// Reservations of engine memory in this protocol.
 struct MemoryOrders
 {
     std::function<protocol::HttpRequest(const std::string &lease, std::uint32_t tokens,
                                         std::chrono::milliseconds ttl)>
-            reserve; // also renews
+            reserve; // also renews an existing reservation
     std::function<protocol::HttpRequest(const std::string &lease)> release;
     std::function<bool(unsigned status)> granted;
 };
 
+// Converts relayed requests and their answers.
 struct RelayCodec
 {
-    // Error: InvalidArgument, for what can't be told from the request.
+    // Error: InvalidArgument if the request lacks a value or has an invalid one.
     std::function<state::Result<RelayRequest>(const protocol::HttpRequest &)> decode;
     std::function<protocol::HttpRequest(const protocol::HttpRequest &, const ForwardTerms &)>
             forward;
@@ -84,38 +85,40 @@
     MemoryOrders memory;
 };
 
-// What the operators' and endpoints' door asks of the product.
+// The calls that operators and endpoints can make.
 struct OperatorFace
 {
-    // The version in force once the document is committed. Error: Timeout, not known whether it
-    // was.
+    // Returns the version in force once the document is committed. Error: Timeout if it is unknown
+    // whether the document was committed.
     std::function<boost::asio::awaitable<state::Result<std::uint64_t>>(
             state::control::ConfigurationDocument)>
             replaceConfiguration;
-    // Error: Timeout, nobody can be sure which is the newest.
+    // Error: Timeout if the newest configuration could not be determined with certainty.
     std::function<boost::asio::awaitable<state::Result<state::control::ConfigurationDocument>>()>
             newestConfiguration;
-    // Errors: InvalidArgument; Conflict for news of a former life.
+    // Errors: InvalidArgument; Conflict if the announcement is from an earlier incarnation.
     std::function<boost::asio::awaitable<state::Result<void>>(state::EndpointDescription)> announce;
-    // The endpoint gets no new work; answered when the news is on its way to the other nodes.
+    // Gives the endpoint no new work. Returns once the change is being sent to the other nodes.
     std::function<boost::asio::awaitable<state::Result<void>>(state::EndpointDescription)> drain;
-    // The same for one that only says its name; without incarnation the one that is known.
+    // The same for an endpoint that only gives its id; applies to the known incarnation by default.
     std::function<boost::asio::awaitable<state::Result<void>>(
             state::EndpointId, std::optional<std::uint64_t> incarnation)>
             leave;
 };
 
+// What the directory interface needs of the product.
 struct DirectoryFace
 {
-    // Where a caller of that failure domain should connect; empty if no node is ready.
+    // Addresses for a caller of that failure domain to connect to; empty if no node is ready.
     std::function<std::vector<state::Address>(const state::FailureDomain &)> entries;
     std::chrono::milliseconds timeToLive{};
 };
 
+// A deployment's protocol: all formats and interfaces.
 struct Deployment
 {
     RelayCodec relay;
-    // Error: InvalidArgument, for what can't be read whole or breaks a rule of RouteTable.
+    // Error: InvalidArgument if the text can't be parsed completely or breaks a rule of RouteTable.
     std::function<state::Result<state::routes::RouteTable>(std::string_view)> decodeConfiguration;
     std::function<boost::asio::awaitable<void>(transport::HttpExchange &, const OperatorFace &)>
             answerOperator;
--- a/src/program/RelayFront.cpp
+++ b/src/program/RelayFront.cpp
@@ -15,16 +15,16 @@
 
 namespace {
 
-// Operators wait about a second for an answer before they send the same again elsewhere, or longer
-// for a large document; nobody reads what comes later.
+// Operators wait about a second for an answer, or longer for a large document, before they repeat
+// the request at another node. A later answer is not read by anyone.
 constexpr milliseconds commitTime{2'500};
 constexpr milliseconds newestTime{900};
-// A descriptor more for each request at an endpoint, and some kept for the peers.
+// Each request needs another descriptor for its endpoint, and some are reserved for the peers.
 constexpr std::uint32_t callerConnections = 1'200;
-constexpr std::uint32_t sideDoorConnections = 400;
+constexpr std::uint32_t auxiliaryConnections = 400;
 constexpr std::uint64_t operatorBodyBytes = 4U << 20U;
-// Callers may use a connection up to the idle time that operators set; closing it in the same
-// moment would cost a request.
+// Callers may reuse a connection until the configured idle timeout. Closing it at that same moment
+// would lose a request.
 constexpr milliseconds idleMargin{3'000};
 constexpr milliseconds requestMargin{2'000};
 
@@ -39,11 +39,11 @@
     return limits;
 }
 
-transport::HttpLimits sideDoorLimits()
+transport::HttpLimits auxiliaryLimits()
 {
     transport::HttpLimits limits;
     limits.bodyBytes = operatorBodyBytes;
-    limits.connections = sideDoorConnections;
+    limits.connections = auxiliaryConnections;
     return limits;
 }
 
@@ -103,7 +103,7 @@
             [this](transport::HttpExchange &exchange) { return this->relay.run(exchange); },
             this->relayServer));
     BOOST_OUTCOME_TRYV(open(
-            where.readyListen, sideDoorLimits(),
+            where.readyListen, auxiliaryLimits(),
             [this](transport::HttpExchange &exchange) {
                 const bool ready =
                         !this->leaving && this->hasConfiguration() && this->hooks.ready();
@@ -115,13 +115,13 @@
                                   },
                                   where.directoryTtl};
     BOOST_OUTCOME_TRYV(open(
-            where.directoryListen, sideDoorLimits(),
+            where.directoryListen, auxiliaryLimits(),
             [this, directory](transport::HttpExchange &exchange) {
                 return this->hooks.deployment.answerDirectory(exchange, directory);
             },
             this->directoryServer));
     return open(
-            where.operatorListen, sideDoorLimits(),
+            where.operatorListen, auxiliaryLimits(),
             [this](transport::HttpExchange &exchange) {
                 return this->hooks.deployment.answerOperator(exchange, this->operatorFace);
             },
@@ -201,10 +201,10 @@
 {
     this->configured = this->configured || view.configuration.version > 0;
     if (!this->relayServer || view.configuration.version <= this->routes.read()->version())
-        return; // a control VM that relays nothing has no processor time for documents of 100 KB
+        return; // a control VM without a relay has no processor time for documents of 100 KB
     const auto table = this->hooks.deployment.decodeConfiguration(view.configuration.text);
     if (!table) {
-        // It was checked before it was accepted, by another node of the same program.
+        // Another node that runs the same program checked it before it was accepted.
         logError("configuration.unreadable", table.error());
         return;
     }
--- a/src/program/RelayFront.h
+++ b/src/program/RelayFront.h
@@ -1,6 +1,6 @@
-// The listeners of a deployment's wire on this node: callers' relayed requests, readiness, the
-// directory, and the door for operators and endpoints. Each is served only where the settings name
-// an address.
+// This node's listeners for the deployment's protocol: relayed requests, readiness, the directory,
+// and the operator interface, which endpoints use too. A listener is opened only if the settings
+// give its address.
 #pragma once
 
 #include "program/Cluster.h"
@@ -19,6 +19,7 @@
 
 namespace lavenderthread::program {
 
+// Owns the listeners and the route table in force, and takes them out of service step by step.
 class RelayFront
 {
 public:
@@ -29,8 +30,8 @@
         std::function<state::SnapshotView<EndpointTable>()> endpoints;
         std::shared_ptr<Cluster> cluster;
         std::shared_ptr<ControlClient> client;
-        std::function<bool()> ready; // the rest of the process can serve
-        // The services' engine profiles, whenever a configuration comes into force.
+        std::function<bool()> ready; // whether the rest of the process can serve
+        // Called with the services' engine profiles whenever a configuration comes into force.
         std::function<void(std::map<state::ServiceName, state::routes::EngineProfile>)>
                 profilesChanged;
         std::function<void(const RelayOutcome &)> finished;
@@ -41,12 +42,12 @@
     create(const Settings &settings, boost::asio::io_context &context, Hooks hooks);
 
     void start();
-    // A newer view of the control state is in force here.
+    // Applies a newer view of the control state.
     void viewChanged(const state::control::ControlView &view);
     bool hasConfiguration() const { return this->configured; }
 
-    // Leaving in three steps: callers are sent elsewhere as they come; what is new is refused;
-    // nothing is accepted any more.
+    // Shutdown in three steps: close each connection after its next answer and report not ready,
+    // refuse new requests, and stop accepting connections.
     void beginLeaving();
     void refuseNew() { this->refusing = true; }
     void stopAccepting();
@@ -62,7 +63,7 @@
 
     const Settings &settings;
     Hooks hooks;
-    state::Snapshot<state::routes::RouteTable> routes; // versions only go up
+    state::Snapshot<state::routes::RouteTable> routes; // versions only increase
     std::atomic<bool> configured = false;
     std::atomic<bool> leaving = false;
     std::atomic<bool> refusing = false;
--- a/src/program/RouteRelay.cpp
+++ b/src/program/RouteRelay.cpp
@@ -1,4 +1,4 @@
-// The way of one relayed request: route, account, endpoint, attempts, answer.
+// Stages of one relayed request: route, account, endpoint, attempts, answer.
 #include "program/RouteRelay.h"
 
 #include "coordination/relay/EventSplitter.h"
@@ -28,35 +28,35 @@
 
 namespace {
 
-// Retries that all nodes together may send in ten seconds are a fifth of the requests and a fixed
-// sum; each node keeps under its part of both (18 nodes; 117 nodes share a larger sum).
+// In any ten seconds, all nodes together may send retries for a fifth of the requests plus a fixed
+// number. Each node stays below its share of both (for 18 nodes; 117 nodes share a larger number).
 constexpr double retriesPerRequest = 0.12;
 constexpr double retriesAtOnce = 4;
 
-// A node that has just started learns its configuration within a second, if a majority of the
-// control members runs. Callers come back only once or twice, so they wait for it here.
+// A node that has just started receives its configuration within a second if a majority of the
+// control members is running. Callers retry only once or twice, so their requests wait here.
 constexpr milliseconds configurationWait{900};
 constexpr milliseconds retryWithoutConfiguration{1'200};
-// After a start, or when all replicas of a service were replaced, the first of them is heard of
+// After a start, or after all replicas of a service were replaced, the first replica becomes known
 // within one heartbeat.
 constexpr milliseconds endpointWait{600};
 constexpr milliseconds waitingStep{20};
-// Until then a control member has confirmed the configuration here, or another node answers.
+// By then a control member has confirmed this node's configuration, or another node answers.
 constexpr milliseconds retryUnconfirmed{300};
-constexpr milliseconds retryElsewhere{50}; // this node is leaving; another one takes it at once
+constexpr milliseconds retryElsewhere{50}; // this node is leaving; another accepts at once
 constexpr milliseconds retryWithoutEndpoint{300};
 constexpr milliseconds longestRetryAfter{5'000};
-// An endpoint in the same region accepts within a few milliseconds; a lost packet costs a second.
+// An endpoint in the same region accepts within a few milliseconds; a lost packet adds a second.
 constexpr milliseconds connectTimeout{700};
-// Bytes that an endpoint's machine does not acknowledge for so long are taken for lost with it.
+// If sent bytes stay unacknowledged for this long, the endpoint's machine is considered lost.
 constexpr milliseconds unacknowledgedTimeout{1'500};
 
-// A stream that may go on elsewhere does so when it stays silent for that many times what its
-// caller asked for: callers leave at four times the target or eight times the pause, and after two
-// seconds at the earliest. An engine that has lost a helper cuts the answer itself within 1.5 s.
-constexpr int patienceTargets = 3;
-constexpr int patiencePauses = 4;
-constexpr milliseconds leastPatience{900};
+// A stream that may be resumed elsewhere is moved after a silence of this many times the route's
+// target. Callers disconnect at four times the first-answer target or eight times the pause target,
+// but not before two seconds. An engine that has lost a helper ends the answer within 1.5 s.
+constexpr int firstAnswerTargetFactor = 3;
+constexpr int pauseTargetFactor = 4;
+constexpr milliseconds shortestInactivityTimeout{900};
 
 constexpr std::uint64_t largestAnswer = 16U << 20U;
 
@@ -76,7 +76,7 @@
     return end == AttemptEnd::NeverSent ? AttemptHealth::Unreachable : AttemptHealth::Failed;
 }
 
-// Where an attempt goes.
+// The endpoint of an attempt, and how the scheduler wants it to run there.
 struct Target
 {
     state::EndpointDescription endpoint;
@@ -84,7 +84,7 @@
     std::vector<HelperTarget> helpers;
 };
 
-// The attempt that runs now, which others may end: the caller's close, or the scheduler.
+// The running attempt. A disconnect of the caller or the scheduler may interrupt it.
 struct RunningAttempt
 {
     std::shared_ptr<transport::HttpCallHandle> handle =
@@ -122,7 +122,7 @@
     }
 
 private:
-    // Route, account and time of the request; false once it was answered instead.
+    // Determines route, account and deadline. False if the request was refused and answered.
     asio::awaitable<bool> accept()
     {
         co_await this->waitForConfiguration();
@@ -134,7 +134,7 @@
         co_return false;
     }
 
-    // Until `ready`, the caller's close, or so long after the arrival.
+    // Waits until `ready`, the caller disconnects, or `longest` has passed since the arrival.
     asio::awaitable<void> waitFor(std::function<bool()> ready, milliseconds longest)
     {
         const state::Instant limit = this->arrival + longest;
@@ -189,8 +189,8 @@
         return std::nullopt;
     }
 
-    // A route or key that was added since must not be refused for good by a node that could not
-    // hear of it.
+    // The route or key may have been added since the last confirmed configuration, so a node that
+    // could not learn of it must not refuse the request permanently.
     static RelayRefusal refusalUnder(ViewStanding standing, RelayRefusal refusal)
     {
         if (standing == ViewStanding::Confirmed)
@@ -244,8 +244,8 @@
         this->hooks.scheduler.finished(this->request.id, lastAttempt, this->outcome.whole);
     }
 
-    // Right after a start the scheduler knows the configuration a moment before the first engine,
-    // and would turn away all who come then.
+    // Right after a start, the scheduler knows the configuration shortly before it knows the first
+    // engine, and would refuse every request that arrives in between.
     asio::awaitable<void> waitForEngines()
     {
         const std::function<bool()> ready = [this] { return this->knowsEndpoint(); };
@@ -324,8 +324,9 @@
             if (end == AttemptEnd::Whole)
                 co_return;
             this->noteTime();
-            const bool paid = std::exchange(this->retryPaid, false);
-            if (!coordination::relay::mayTryAgain(this->facts, end) || !(paid || this->takeRetry()))
+            const bool tokenTaken = std::exchange(this->retryPaid, false);
+            if (!coordination::relay::mayTryAgain(this->facts, end)
+                || !(tokenTaken || this->takeRetry()))
                 break;
             this->running->renew();
         }
@@ -351,7 +352,7 @@
 
     void endOnReplica(const state::EndpointDescription &replica, AttemptEnd end)
     {
-        // An answer of its own is what a sound endpoint gives to a request that it can't do.
+        // A healthy endpoint also answers a request that it can't carry out with its own error.
         const AttemptHealth health = this->facts.callerGone ? AttemptHealth::Served : healthOf(end);
         const std::lock_guard lock(this->relay.choosing);
         this->relay.chooser.ended(replica, health, monotonicNow());
@@ -367,7 +368,7 @@
 
     void noteTime() { this->facts.timeIsOver = remaining(this->deadline) == milliseconds(0); }
 
-    // One endpoint is given the request. Counts in `facts` what that may have meant.
+    // Sends the request to one endpoint and counts in `facts` whether it may have run there.
     asio::awaitable<AttemptEnd> attempt(Target target)
     {
         ++this->outcome.attempts;
@@ -416,10 +417,10 @@
         limits.connectTimeout = std::min(connectTimeout, left);
         limits.unacknowledgedTimeout = unacknowledgedTimeout;
         limits.timeout = left;
-        transport::BeforeSend noGate;
+        transport::BeforeSend noBeforeSend;
         auto opened = co_await transport::openHttpStream(
                 this->exchange.executor(), target.endpoint.address, std::move(forwarded), limits,
-                noGate, this->running->handle);
+                noBeforeSend, this->running->handle);
         if (!opened)
             co_return this->openFailed(opened.error());
         transport::HttpAnswerStream &stream = opened.value();
@@ -462,12 +463,13 @@
 
     milliseconds firstPatience() const
     {
-        return std::max(leastPatience, this->route->firstAnswerTarget * patienceTargets);
+        return std::max(shortestInactivityTimeout,
+                        this->route->firstAnswerTarget * firstAnswerTargetFactor);
     }
 
     milliseconds pausePatience() const
     {
-        return std::max(leastPatience, this->route->pauseTarget * patiencePauses);
+        return std::max(shortestInactivityTimeout, this->route->pauseTarget * pauseTargetFactor);
     }
 
     void watchSilence()
@@ -499,8 +501,8 @@
         return this->retryPaid;
     }
 
-    // The whole answer is read before any of it goes on: one that breaks off can then still be
-    // tried elsewhere, or be answered by an honest failure.
+    // Reads the complete answer before sending any of it. If it breaks off, the request can still
+    // be retried elsewhere or be answered with an accurate error.
     asio::awaitable<AttemptEnd> relayWhole(transport::HttpAnswerStream &stream,
                                            protocol::HttpHeaders headers)
     {
@@ -536,8 +538,8 @@
         this->outcome.whole = sent.has_value();
     }
 
-    // Whole events go on as they come. The head waits for the first of them, so that an endpoint
-    // that fails before it costs the caller nothing.
+    // Forwards complete events as they arrive. The head is sent with the first event, so that the
+    // caller does not notice an endpoint that fails before it.
     asio::awaitable<AttemptEnd> relayStream(transport::HttpAnswerStream &stream,
                                             protocol::HttpHeaders headers)
     {
@@ -615,7 +617,7 @@
         co_return sent ? AttemptEnd::Whole : AttemptEnd::Lost;
     }
 
-    // The final answer to what no endpoint has answered whole.
+    // Sends the final answer to a request that no endpoint has answered completely.
     asio::awaitable<void> giveUp(std::string detail, std::optional<milliseconds> retryAfter)
     {
         this->noteTime();
@@ -625,7 +627,7 @@
             this->outcome.status = 0;
             break;
         case FinalAnswer::Cut:
-            break; // left unfinished, the server closes it
+            break; // the server closes the unfinished answer
         case FinalAnswer::EndpointAnswer:
             co_await this->respond(std::move(*this->endpointAnswer));
             this->outcome.whole = false;
@@ -664,7 +666,7 @@
     RouteRelay &relay;
     const RouteRelay::Hooks &hooks;
     transport::HttpExchange &exchange;
-    state::SnapshotView<RouteTable> routes; // one version decides over the whole request
+    state::SnapshotView<RouteTable> routes; // one version is used for the whole request
     const state::Instant arrival;
     RelayRequest request;
     const Route *route = nullptr; // of `routes`
@@ -673,13 +675,14 @@
     CallFacts facts;
     RelayOutcome outcome;
     coordination::relay::EventSplitter events;
-    std::optional<protocol::HttpResponse> endpointAnswer; // the last failure an endpoint gave
+    std::optional<protocol::HttpResponse>
+            endpointAnswer; // the last error that an endpoint answered
     std::shared_ptr<RunningAttempt> running = std::make_shared<RunningAttempt>();
-    std::shared_ptr<SilenceWatch> silence; // of the attempt that runs, if it may be given up
-    bool retryPaid = false;                // for a move to another replica
+    std::shared_ptr<SilenceWatch> silence; // of the running attempt, if it may be abandoned
+    bool retryPaid = false;                // a retry token was taken for a move to another replica
     bool scheduled = false;
-    bool peerFailed = false; // the last answer blames another endpoint than the one that gave it
-    std::uint32_t attemptNumber = 0; // of the scheduler
+    bool peerFailed = false;         // the last answer reports the failure of another endpoint
+    std::uint32_t attemptNumber = 0; // number that the scheduler gave the attempt
 };
 
 RouteRelay::RouteRelay(const Settings &settings, Hooks hooks, std::uint64_t seed)
--- a/src/program/RouteRelay.h
+++ b/src/program/RouteRelay.h
@@ -1,5 +1,5 @@
-// The transparent relay: a caller's request goes to an endpoint of its route's service as it came,
-// and the endpoint's answer comes back as it was given, whole or visibly cut.
+// The transparent relay: forwards a caller's request unchanged to an endpoint of its route's
+// service and returns the endpoint's answer unchanged, either complete or visibly truncated.
 #pragma once
 
 #include "coordination/admission/RetryBudget.h"
@@ -24,7 +24,7 @@
 
 namespace lavenderthread::program {
 
-// How a relayed request went, for the log and the counters.
+// Result of a relayed request, for the log and the metrics.
 struct RelayOutcome
 {
     state::RequestId id;
@@ -32,21 +32,23 @@
     state::ClientAccountId account;
     state::ServiceName service;
     state::EndpointId endpoint;      // of the last attempt
-    std::uint64_t configuration = 0; // version that decided
+    std::uint64_t configuration = 0; // version of the routes that were used
     std::uint32_t promptTokens = 0;
-    unsigned status = 0; // 0: the caller was gone
+    unsigned status = 0; // 0: the caller had disconnected
     unsigned attempts = 0;
-    state::Address address;              // its address
+    state::Address address;              // of the last attempt's endpoint
     std::vector<state::Address> helpers; // of the last attempt
     bool whole = false;
     bool resumed = false;
     std::string reason; // of a failure or refusal
     state::Duration firstAnswer{};
-    state::Duration predictedFirst{}; // as the last placement expected it
-    state::Duration longestPause{};   // between two writes to the caller, of a stream
+    state::Duration predictedFirst{}; // as estimated by the last placement
+    state::Duration longestPause{};   // between two writes of a stream to the caller
     state::Duration total{};
 };
 
+// Serves requests on the routes: chooses an endpoint, retries elsewhere where the request allows it
+// and the retry budget permits it, and relays the answer.
 class RouteRelay
 {
 public:
@@ -57,14 +59,14 @@
         std::function<state::SnapshotView<EndpointTable>()> endpoints;
         std::function<state::SnapshotView<state::routes::RouteTable>()> routes;
         std::function<coordination::orders::ViewStanding()> standing; // of `routes`
-        std::function<bool()> refuses; // this node is leaving and takes nothing new
+        std::function<bool()> refuses; // true: this node is shutting down, no new work
         std::function<void(const RelayOutcome &)> finished;
     };
 
     RouteRelay(const Settings &settings, Hooks hooks, std::uint64_t seed);
 
-    // Answers the exchange, or leaves it to be closed where the caller is gone or the answer is
-    // cut.
+    // Answers the exchange. Leaves it unanswered, for the server to close, if the caller has
+    // disconnected or the answer broke off.
     boost::asio::awaitable<void> run(transport::HttpExchange &exchange);
 
     std::size_t inFlight() const { return this->requestsInFlight; }
@@ -78,7 +80,7 @@
     const Settings &settings;
     Hooks hooks;
     std::atomic<std::size_t> requestsInFlight = 0;
-    std::mutex choosing; // guards what follows; held for a choice, never across I/O
+    std::mutex choosing; // guards the members below; held only for a choice, never across I/O
     std::mt19937_64 random;
     coordination::routing::ReplicaChooser chooser;
     std::map<state::ServiceName, coordination::admission::RetryBudget> budgets;
--- a/src/program/ServerSentEvents.cpp
+++ b/src/program/ServerSentEvents.cpp
@@ -1,4 +1,4 @@
-// Events end with an empty line; only `id`, `event` and `data` lines matter here.
+// An event ends with an empty line. Lines other than `id`, `event` and `data` are ignored.
 #include "program/ServerSentEvents.h"
 
 namespace lavenderthread::program {
--- a/src/program/ServerSentEvents.h
+++ b/src/program/ServerSentEvents.h
@@ -1,4 +1,4 @@
-// Cuts a byte stream into server-sent events.
+// Splits a byte stream into server-sent events.
 #pragma once
 
 #include <string>
@@ -10,20 +10,21 @@
 struct ServerSentEvent
 {
     std::string id;
-    std::string event; // empty for the default kind
+    std::string event; // event type; empty for the default type
     std::string data;
 
     auto operator<=>(const ServerSentEvent &) const = default;
 };
 
+// Incremental parser; keeps an incomplete event until the rest arrives.
 class ServerSentEventReader
 {
 public:
-    // The events that `piece` completes.
+    // Appends `piece` and returns the events that it completes.
     std::vector<ServerSentEvent> feed(std::string_view piece);
 
 private:
-    std::string partial; // bytes after the last whole event
+    std::string partial; // bytes after the last complete event
 };
 
 } // namespace lavenderthread::program
--- a/src/program/ServiceRelay.cpp
+++ b/src/program/ServiceRelay.cpp
@@ -1,4 +1,4 @@
-// The life of one plain service call.
+// Stages of one plain service call: claim, choice of a replica, dispatch, answer.
 #include "program/ServiceRelay.h"
 
 #include "program/Clock.h"
@@ -24,11 +24,11 @@
 constexpr std::size_t longestIdempotencyKey = 255;
 constexpr int maximumAttempts = 3;
 
-// "/services/NAME/rest?query" in parts.
+// The parts of "/services/NAME/rest?query".
 struct ServiceTarget
 {
     state::ServiceName service;
-    std::string rest; // from the slash after the name on
+    std::string rest; // starts with the slash after the name
 };
 
 std::optional<ServiceTarget> splitTarget(const std::string &target)
@@ -44,13 +44,13 @@
     return ServiceTarget{state::ServiceName(std::string(name)), std::move(rest)};
 }
 
-// What an Idempotency-Key stands for.
+// The part of a request that must be equal whenever its Idempotency-Key is reused.
 std::string claimedBody(const protocol::HttpRequest &request)
 {
     return request.method + ' ' + request.target + '\n' + request.body;
 }
 
-// One call while it is relayed.
+// State of one call while it is relayed.
 class RelayedCall
 {
 public:
@@ -99,7 +99,7 @@
         return this->target.rest.substr(0, this->target.rest.find('?'));
     }
 
-    // Live replicas, those of this failure domain first, in an order that differs by request.
+    // Live replicas, those of this failure domain first. The order among equals differs by request.
     std::vector<state::EndpointDescription> replicas() const
     {
         std::vector<state::EndpointDescription> found;
@@ -161,13 +161,12 @@
         }
     }
 
-    // Goes to replicas in turn until one accepts the connection; from then on there is no other
-    // try.
+    // Tries the replicas in turn until one accepts the connection. After that there is no retry.
     asio::awaitable<protocol::HttpResponse> dispatchOnce(const ClaimKey &key)
     {
         const std::string attempt = this->id.value();
-        // Connected first, then marked as dispatched, then sent: a replica that is down costs the
-        // caller nothing, and no byte goes out before the mark is committed.
+        // Connect, then mark the claim as dispatched, then send. A replica that is down thus does
+        // not use up the key, and no byte is sent before the mark is committed.
         const auto mark = [this, key, attempt] {
             return this->hooks.claims.beginDispatch(key, attempt, this->deadline);
         };
@@ -176,8 +175,8 @@
             co_await this->hooks.claims.finish(key, attempt, answer.value());
             co_return answer.value();
         }
-        // "No" is said only after the claim's release is committed. The mark may be committed with
-        // its answer lost: the key then counts as dispatched, and the release is refused.
+        // The answer is "no" only after the release of the claim is committed. If the mark was
+        // committed but its answer was lost, the key counts as dispatched and the release fails.
         if (this->ran == Ran::No) {
             const bool released = co_await this->hooks.claims.release(key, attempt);
             this->ran = released ? Ran::No : Ran::Unknown;
@@ -240,15 +239,15 @@
 
     protocol::HttpResponse failure(const state::Error &error)
     {
-        const bool late = remaining(this->deadline) == std::chrono::milliseconds(0);
+        const bool deadlinePassed = remaining(this->deadline) == std::chrono::milliseconds(0);
         std::optional<std::chrono::milliseconds> retryAfter;
         if (this->ran == Ran::No)
             retryAfter = retryAfterRefusal;
-        return this->problem({late                   ? 504U
+        return this->problem({deadlinePassed         ? 504U
                               : this->ran == Ran::No ? 503U
                                                      : 502U,
-                              late ? "deadline" : "service-failed", error.step + ": " + error.cause,
-                              this->ran, retryAfter});
+                              deadlinePassed ? "deadline" : "service-failed",
+                              error.step + ": " + error.cause, this->ran, retryAfter});
     }
 
     protocol::HttpResponse problem(const Problem &problem)
@@ -286,7 +285,7 @@
                 return Repeatability::Claimed;
         }
     }
-    // The methods that HTTP itself defines as idempotent.
+    // The methods that HTTP defines as idempotent.
     static const std::vector<std::string> idempotent = {"GET", "HEAD", "PUT", "DELETE", "OPTIONS"};
     const bool safe = std::find(idempotent.begin(), idempotent.end(), method) != idempotent.end();
     return safe ? Repeatability::Idempotent : Repeatability::NeverRepeated;
--- a/src/program/ServiceRelay.h
+++ b/src/program/ServiceRelay.h
@@ -1,5 +1,5 @@
-// Passes calls through to plain services. Calls that may not be repeated go through a claim and run
-// at most once; others are tried again elsewhere when a replica is lost.
+// Relays calls to plain services. A non-idempotent call takes a claim and runs at most once; an
+// idempotent call is retried at another replica when one is lost.
 #pragma once
 
 #include "program/Claims.h"
@@ -18,6 +18,7 @@
 
 namespace lavenderthread::program {
 
+// Result of one call, for metrics and logs.
 struct ServiceOutcome
 {
     state::RequestId id;
@@ -28,11 +29,11 @@
     state::Duration total{};
 };
 
-// How a call may be treated when its fate is unclear.
+// Whether a call may be sent again when it is unknown whether it ran.
 enum class Repeatability {
     Idempotent,    // safe to send again
     Claimed,       // needs an Idempotency-Key; at most one dispatch per key
-    NeverRepeated, // no rule of the operators; sent at most once per request
+    NeverRepeated, // not covered by the operators' rules; sent at most once per request
 };
 
 Repeatability repeatabilityOf(const ServiceSetting *service, const std::string &method,
@@ -51,7 +52,7 @@
 
     ServiceRelay(const Settings &settings, Hooks hooks);
 
-    // Answers the exchange in every case.
+    // Always answers the exchange.
     boost::asio::awaitable<void> run(transport::HttpExchange &exchange,
                                      const AccountSetting &account) const;
 
--- a/src/program/SilenceWatch.cpp
+++ b/src/program/SilenceWatch.cpp
@@ -1,4 +1,5 @@
-// One timer for each attempt, which is not set anew at each event but looks when it fires.
+// Each attempt has one timer. It is not reset at each event; when it fires, the time of the last
+// event is checked.
 #include "program/SilenceWatch.h"
 
 #include "program/Clock.h"
@@ -24,9 +25,10 @@
 {}
 
 std::shared_ptr<SilenceWatch> SilenceWatch::start(const asio::any_io_executor &executor,
-                                                  state::Duration patience, Hooks hooks)
+                                                  state::Duration initialTimeout, Hooks hooks)
 {
-    std::shared_ptr<SilenceWatch> watch(new SilenceWatch(executor, patience, std::move(hooks)));
+    std::shared_ptr<SilenceWatch> watch(
+            new SilenceWatch(executor, initialTimeout, std::move(hooks)));
     asio::co_spawn(
             executor,
             [](std::shared_ptr<SilenceWatch> self) -> asio::awaitable<void> {
@@ -52,16 +54,16 @@
 {
     state::Instant askedAt = this->lastHeard;
     while (!this->ended) {
-        const state::Duration silent = monotonicNow() - std::max(this->lastHeard, askedAt);
-        if (silent < this->patience) {
-            this->timer.expires_after(this->patience - silent);
+        const state::Duration idleTime = monotonicNow() - std::max(this->lastHeard, askedAt);
+        if (idleTime < this->patience) {
+            this->timer.expires_after(this->patience - idleTime);
             co_await this->timer.async_wait(asio::as_tuple(asio::use_awaitable));
             continue;
         }
         askedAt = monotonicNow();
         const bool allowed = co_await this->hooks.mayMove();
-        const bool heardMeanwhile = this->lastHeard > askedAt;
-        if (this->ended || heardMeanwhile || !allowed)
+        const bool restartedMeanwhile = this->lastHeard > askedAt;
+        if (this->ended || restartedMeanwhile || !allowed)
             continue;
         this->gaveUp = true;
         this->ended = true;
--- a/src/program/SilenceWatch.h
+++ b/src/program/SilenceWatch.h
@@ -1,5 +1,5 @@
-// Notices that an endpoint has sent nothing of its answer for long, and gives the attempt up where
-// there is another one to go on with.
+// Aborts an attempt whose endpoint has sent no data for too long, if the request may continue at
+// another endpoint.
 #pragma once
 
 #include "state/Time.h"
@@ -13,23 +13,24 @@
 
 namespace lavenderthread::program {
 
-// Of one attempt. All calls and hooks on the executor that it was made with, which is a strand.
+// The inactivity timeout of one attempt. All calls and hooks must run on the executor passed to
+// start(), which is a strand.
 class SilenceWatch : public std::enable_shared_from_this<SilenceWatch>
 {
 public:
     struct Hooks
     {
-        // Whether the request may be tried elsewhere; asked at the end of each silence.
+        // Whether the request may be retried elsewhere; called each time the timeout expires.
         std::function<boost::asio::awaitable<bool>()> mayMove;
-        std::function<void()> giveUp; // called once at most, after which the watch has ended
+        std::function<void()> giveUp; // called at most once; the timeout has then ended
     };
 
     static std::shared_ptr<SilenceWatch> start(const boost::asio::any_io_executor &executor,
-                                               state::Duration patience, Hooks hooks);
+                                               state::Duration initialTimeout, Hooks hooks);
 
-    // Something has come; from now on the silence may last that long.
+    // Data has arrived. Restarts the timeout with the duration `next`.
     void heard(state::Duration next);
-    void stop(); // the attempt has ended; no hook is called any more
+    void stop(); // the attempt has ended; no hook is called after this
     bool hasGivenUp() const { return this->gaveUp; }
 
 private:
--- a/tests/program/ServiceRelayTest.cpp
+++ b/tests/program/ServiceRelayTest.cpp
@@ -1,5 +1,5 @@
-// Order of the steps of a non-idempotent call, with a replica on loopback and a claim gate that
-// writes down what it is asked.
+// Tests the order of the steps of a non-idempotent call, with a replica on loopback and a claim
+// gate that records its calls.
 #include "program/ServiceRelay.h"
 
 #include "fakes/LoopbackServer.h"
@@ -19,7 +19,7 @@
 
 namespace {
 
-// What the replica does with a call.
+// How the replica treats a call.
 enum class Replica { Answers, ClosesUnanswered, IsDown };
 
 struct Case
@@ -27,12 +27,12 @@
     const char *name;
     Replica replica;
     bool markGranted;
-    const char *steps; // in order, as the caller's fate depends on them
+    const char *steps; // in order; the order decides what the caller is told
     unsigned status;
     const char *ran;
 };
 
-Settings settingsWithLedger()
+Settings settingsWithNonIdempotentService()
 {
     const char *text = R"({"cluster":{"name":"t","keys":["cluster-key"]},
         "vm":{"id":"vm1","failure_domain":"a"},"entry":{"listen":"127.0.0.1:0"},
@@ -40,12 +40,12 @@
     return Settings::parse(text, "test").value();
 }
 
-// One entry with nothing but a service relay, and one replica, each with its own listener.
-class Rig
+// An entry that only has a service relay, and one replica, each with its own listener.
+class ServiceRelayFixture
 {
 public:
-    explicit Rig(const Case &fault)
-        : settings(settingsWithLedger())
+    explicit ServiceRelayFixture(const Case &fault)
+        : settings(settingsWithNonIdempotentService())
     {
         this->replica = fakes::serveOnLoopback(
                 this->context, [this, fault](transport::HttpExchange &exchange) {
@@ -56,7 +56,7 @@
         this->endpoint.service = state::ServiceName("ledger");
         this->endpoint.address = this->replica->address();
         if (fault.replica == Replica::IsDown)
-            this->endpoint.address.port = 1; // nobody listens there
+            this->endpoint.address.port = 1; // no listener on this port
         this->relay = std::make_unique<ServiceRelay>(this->settings, this->hooks(fault));
         this->entry =
                 fakes::serveOnLoopback(this->context, [this](transport::HttpExchange &exchange) {
@@ -65,13 +65,13 @@
         this->thread = std::thread([this] { this->context.run(); });
     }
 
-    ~Rig()
+    ~ServiceRelayFixture()
     {
         this->context.stop();
         this->thread.join();
     }
-    Rig(const Rig &) = delete;
-    Rig &operator=(const Rig &) = delete;
+    ServiceRelayFixture(const ServiceRelayFixture &) = delete;
+    ServiceRelayFixture &operator=(const ServiceRelayFixture &) = delete;
 
     protocol::HttpResponse post()
     {
@@ -92,19 +92,19 @@
     std::string steps()
     {
         const std::lock_guard lock(this->mutex);
-        return this->written;
+        return this->recordedSteps;
     }
 
 private:
-    void note(const std::string &step)
+    void recordStep(const std::string &step)
     {
         const std::lock_guard lock(this->mutex);
-        this->written += (this->written.empty() ? "" : " ") + step;
+        this->recordedSteps += (this->recordedSteps.empty() ? "" : " ") + step;
     }
 
     asio::awaitable<void> serveReplica(transport::HttpExchange &exchange, Replica behaviour)
     {
-        this->note("replica");
+        this->recordStep("replica");
         if (behaviour == Replica::ClosesUnanswered)
             co_return;
         protocol::HttpResponse answer{201, {}, "booked"};
@@ -124,7 +124,7 @@
         made.finished = [](const ServiceOutcome &) {};
         made.claims.take = [this](ClaimKey, std::string, std::string,
                                   state::Instant) -> asio::awaitable<state::Result<ClaimAnswer>> {
-            this->note("take");
+            this->recordStep("take");
             ClaimAnswer granted;
             granted.verdict = ClaimVerdict::Granted;
             co_return granted;
@@ -132,16 +132,16 @@
         made.claims.beginDispatch =
                 [this, granted = fault.markGranted](ClaimKey, std::string,
                                                     state::Instant) -> asio::awaitable<bool> {
-            this->note("mark");
+            this->recordStep("mark");
             co_return granted;
         };
         made.claims.release = [this](ClaimKey, std::string) -> asio::awaitable<bool> {
-            this->note("release");
+            this->recordStep("release");
             co_return true;
         };
         made.claims.finish = [this](ClaimKey, std::string,
                                     protocol::HttpResponse) -> asio::awaitable<void> {
-            this->note("finish");
+            this->recordStep("finish");
             co_return;
         };
         return made;
@@ -152,7 +152,7 @@
     state::EndpointDescription endpoint;
     asio::io_context context;
     std::mutex mutex;
-    std::string written;
+    std::string recordedSteps;
     std::unique_ptr<ServiceRelay> relay;
     std::shared_ptr<transport::HttpServer> replica;
     std::shared_ptr<transport::HttpServer> entry;
@@ -164,17 +164,17 @@
 class ServiceRelayTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(ServiceRelayTest);
-    CPPUNIT_TEST(stepsOfAClaimedCall);
-    CPPUNIT_TEST(rulesOfRepeatability);
+    CPPUNIT_TEST(claimedCallStepsRunInOrder);
+    CPPUNIT_TEST(repeatabilityFollowsRulesAndMethod);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void stepsOfAClaimedCall()
+    void claimedCallStepsRunInOrder()
     {
-        // A time posting must not be booked twice, and a caller told "no" may send it again. So the
-        // mark is committed before the replica sees a byte, a refused connection or mark frees the
-        // key before "no" is said, and a call cut after it was sent keeps the key and says
-        // "unknown". Seen once: the mark was left out, and the posting went out unmarked.
+        // A time entry must not be booked twice, and a caller that is told "no" may send it again.
+        // So the mark is committed before the replica receives a byte, a refused connection or mark
+        // releases the key before the answer "no", and a call that breaks off after it was sent
+        // keeps the key and is answered "unknown". Guards against a dispatch without the mark.
         const Case cases[] = {
                 {"answered", Replica::Answers, true, "take mark replica finish", 201, ""},
                 {"replica down", Replica::IsDown, true, "take release", 503, "\"ran\":\"no\""},
@@ -184,17 +184,17 @@
                  "\"ran\":\"unknown\""},
         };
         for (const Case &fault : cases) {
-            Rig rig(fault);
-            const protocol::HttpResponse answer = rig.post();
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(fault.name, std::string(fault.steps), rig.steps());
+            ServiceRelayFixture fixture(fault);
+            const protocol::HttpResponse answer = fixture.post();
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(fault.name, std::string(fault.steps), fixture.steps());
             CPPUNIT_ASSERT_EQUAL_MESSAGE(fault.name, fault.status, answer.status);
             CPPUNIT_ASSERT_MESSAGE(fault.name, answer.body.find(fault.ran) != std::string::npos);
         }
     }
 
-    void rulesOfRepeatability()
+    void repeatabilityFollowsRulesAndMethod()
     {
-        const Settings settings = settingsWithLedger();
+        const Settings settings = settingsWithNonIdempotentService();
         const ServiceSetting *ledger = settings.services.data();
         CPPUNIT_ASSERT(repeatabilityOf(ledger, "POST", "/time-entries/7")
                        == Repeatability::Claimed);
