--- a/src/program/Claims.h
+++ b/src/program/Claims.h
@@ -1,5 +1,6 @@
-// The gate of non-idempotent calls: a claim on (account, key) is taken before dispatch, and what
-// became of it is recorded. Who keeps the claims is behind the hooks.
+// The interface that makes non-idempotent calls run at most once: a claim on (account, key) is
+// taken before dispatch, and its outcome is recorded. The functions hide where the claims are
+// stored.
 #pragma once
 
 #include "protocol/HttpMessage.h"
@@ -25,11 +26,11 @@
 };
 
 enum class ClaimVerdict {
-    Granted,    // this attempt, and no other ever, may dispatch the call
-    Finished,   // it ran before; `result` is its answer
-    Unknown,    // an attempt was dispatched or may have been, and its result is not known
+    Granted,    // only this attempt, and never another, may dispatch the call
+    Finished,   // the call has already run; `result` is its answer
+    Unknown,    // an attempt was or may have been dispatched, and its result is not known
     InProgress, // another attempt holds the claim right now
-    Conflict,   // the same key came with another body
+    Conflict,   // the key was used before with another body
 };
 
 struct ClaimAnswer
@@ -40,24 +41,25 @@
 
 struct ClaimGate
 {
-    // `body` is what the key stands for: method, target and body of the call. Errors (Unavailable,
+    // `body` identifies the call behind the key: its method, target and body. Errors (Unavailable,
     // Overloaded, Timeout): the claim was not granted to this attempt; nothing may be dispatched.
     std::function<boost::asio::awaitable<state::Result<ClaimAnswer>>(
             ClaimKey, std::string body, std::string attempt, state::Instant deadline)>
             take;
-    // Asked right before the first byte goes out. False: the claim is no longer this attempt's, for
-    // example because this process stood still for long.
+    // Called right before the first byte is sent. False: this attempt no longer holds the claim,
+    // for example because the process was paused for long.
     std::function<boost::asio::awaitable<bool>(ClaimKey, std::string attempt,
                                                state::Instant deadline)>
             beginDispatch;
-    // Nothing was sent: the key is free again. True once that is recorded; only then was it "no".
+    // Nothing was sent: frees the key. True once that is recorded; only then may the caller be told
+    // that the call did not run ("no").
     std::function<boost::asio::awaitable<bool>(ClaimKey, std::string attempt)> release;
     std::function<boost::asio::awaitable<void>(ClaimKey, std::string attempt,
                                                protocol::HttpResponse result)>
             finish;
 };
 
-// Claims kept in this process only: for a node alone, without control members.
+// Claims kept in this process only: for a single node without control members.
 ClaimGate makeLocalClaims();
 
 } // namespace lavenderthread::program
--- a/src/program/Clock.h
+++ b/src/program/Clock.h
@@ -1,4 +1,4 @@
-// The time of this process, monotonic and of day.
+// Monotonic and wall clock time of this process.
 #pragma once
 
 #include "state/Time.h"
@@ -22,7 +22,7 @@
             std::chrono::system_clock::now());
 }
 
-// Time left until `deadline`, never negative, rounded up so that 1 µs left is not "none".
+// Time left until `deadline`, never negative; rounded up, so that 1 µs left does not become 0.
 inline std::chrono::milliseconds remaining(state::Instant deadline)
 {
     const auto left = std::chrono::ceil<std::chrono::milliseconds>(deadline - monotonicNow());
--- a/src/program/Cluster.cpp
+++ b/src/program/Cluster.cpp
@@ -1,4 +1,4 @@
-// Wiring of membership, directory and the news between entries.
+// Connects membership, the directory and the peer news between entries.
 #include "program/Cluster.h"
 
 #include "coordination/directory/RelayDirectory.h"
@@ -15,20 +15,20 @@
 
 namespace {
 
-// News of one moment share a datagram. An entry has less than one in this time, so waiting longer
-// saves no datagrams and lets others place by older news: 5 ms cost 0.2% of the worth in time of a
-// heavy day, in virtual time.
+// Peer news that occur within this time share a datagram. An entry has less than one in 1 ms, so a
+// longer wait saves no datagrams and lets others place requests by older news: in a simulation in
+// virtual time, 5 ms cost 0.2% of the worth answered in time on a heavy day.
 constexpr std::chrono::milliseconds newsBatchTime{1};
-constexpr std::size_t longestNewsQueue = 4'096;
-// Of the link, for news to peers; the other half is for answers.
+constexpr std::size_t newsQueueLimit = 4'096;
+// Share of the link for news to peers; the other half is for answers.
 constexpr double newsLinkShare = 0.5;
-// Sent at once: a link of 14 Mbit/s was seen to drop what is beyond 30,000 bytes.
+// Burst allowance: a link of 14 Mbit/s dropped what exceeded 30,000 bytes sent at once.
 constexpr double newsBurstBytes = 16'000;
 constexpr double bytesPerMegabit = 125'000;
-constexpr std::chrono::seconds newsLossLogged{1}; // at most one line in that time
-// Heartbeats that an endpoint may miss: one is lost with its connection, and the next goes to
-// another node after a second without an answer.
-constexpr int heartbeatsMissed = 4;
+constexpr std::chrono::seconds newsLossLogInterval{1}; // at most one log line in this time
+// An endpoint expires after this many heartbeat intervals: one heartbeat may be lost with its
+// connection, and the next goes to another node after a second without an answer.
+constexpr int heartbeatsUntilExpiry = 4;
 
 MembershipServiceSettings membershipSettings(const Settings &settings, const Cluster::Self &self)
 {
@@ -55,12 +55,12 @@
     chosen.endpointLife.expiresAfter = settings.endpoint.expire;
     if (settings.relay.listen || settings.relay.operatorListen) {
         chosen.endpointLife.renewAfter = settings.relay.heartbeat;
-        chosen.endpointLife.expiresAfter = settings.relay.heartbeat * heartbeatsMissed;
+        chosen.endpointLife.expiresAfter = settings.relay.heartbeat * heartbeatsUntilExpiry;
     }
     return chosen;
 }
 
-void logHeardEnd(const membership_::HeardEnd &end)
+void logEndOfWork(const membership_::HeardEnd &end)
 {
     logEvent(LogLevel::Info, "endpoint.end-heard",
              {{"endpoint", end.endpoint.value()},
@@ -77,9 +77,9 @@
               {"took_us", std::int64_t(leave.took.count())}});
 }
 
-// An address is used again by another endpoint once the former one is gone. Only the one that
-// started last can be there; news of the former one may still arrive.
-void dropFormerHolders(EndpointTable &table)
+// An address may be reused by another endpoint once the previous one is gone. Only the endpoint
+// that started last can be at the address, but updates about the previous one may still arrive.
+void removeReplacedEndpoints(EndpointTable &table)
 {
     std::map<state::Address, std::uint64_t> newest;
     for (const auto &[id, endpoint] : table.endpoints) {
@@ -124,18 +124,19 @@
 
 state::Result<void> Cluster::join(asio::io_context &context, const Self &self)
 {
-    // The service's hooks run for as long as it does; Node keeps both until the threads have ended.
+    // The hooks may use `this`: Node keeps this object and the service until all threads have
+    // ended.
     MembershipService::Hooks serviceHooks;
     serviceHooks.changed = [this](const MembershipView &view) { this->viewChanged(view); };
     serviceHooks.loadArrived = this->hooks.loadArrived;
     serviceHooks.superseded = this->hooks.superseded;
-    serviceHooks.endHeard = logHeardEnd;
+    serviceHooks.endHeard = logEndOfWork;
     serviceHooks.leaveAcknowledged = logLeave;
     serviceHooks.refused = [](const state::Error &error) { logError("gossip.refused", error); };
     BOOST_OUTCOME_TRY(this->membership,
                       MembershipService::create(membershipSettings(this->settings, self), context,
                                                 std::move(serviceHooks)));
-    // The same port as the entry's, over UDP: peers know it without another setting.
+    // UDP on the port of the entry's listener: peers know it without another setting.
     BOOST_OUTCOME_TRY(this->newsSocket,
                       transport::GossipSocket::create(
                               this->strand, this->settings.entry.listen,
@@ -258,7 +259,7 @@
                 found.push_back({description->control, description->caller});
         }
     }
-    // Before any is known, and when all count as dead: those that the settings lead to.
+    // None is known yet, or all are considered dead: use the members from the settings.
     if (found.empty()) {
         for (const ControlMemberSetting &member : this->settings.controlMembers)
             found.push_back({member.address, member.entry});
@@ -306,16 +307,16 @@
         this->hooks.endpointsChanged();
 }
 
-// One line for each endpoint that this process now believes something else of.
+// Logs one line for each endpoint whose state in this process's view has changed.
 void Cluster::logBeliefs(const EndpointsView &endpoints)
 {
     for (const EndpointState &endpoint : endpoints.endpoints) {
         const coordination::endpoints::EndpointRecord &record = endpoint.record;
-        const Belief belief{record.incarnation, record.phase, record.drain.draining};
+        const Belief observed{record.incarnation, record.phase, record.drain.draining};
         Belief &logged = this->loggedBeliefs[record.id];
-        if (logged == belief)
+        if (logged == observed)
             continue;
-        logged = belief;
+        logged = observed;
         logEvent(LogLevel::Info, "endpoint.believed",
                  {{"endpoint", record.id.value()},
                   {"incarnation", record.incarnation},
@@ -324,8 +325,8 @@
                   {"drained", record.drain.draining ? "yes" : "no"},
                   {"home", record.home.value()}});
     }
-    const auto forgotten = [&](const auto &each) { return endpoints.find(each.first) == nullptr; };
-    std::erase_if(this->loggedBeliefs, forgotten);
+    const auto removed = [&](const auto &each) { return endpoints.find(each.first) == nullptr; };
+    std::erase_if(this->loggedBeliefs, removed);
 }
 
 void Cluster::viewChanged(const MembershipView &view)
@@ -337,14 +338,15 @@
         const auto &record = endpoint.record;
         const bool left = record.phase == EndpointPhase::Left;
         const bool expired = record.phase == EndpointPhase::Expired;
-        // The relay watches its endpoints itself: one that leaves ends what it runs, and one whose
-        // announcements stopped may only have lost the way to those who take them.
+        // A relay keeps endpoints that left or expired and monitors them itself: one that leaves
+        // still finishes the work it runs, and one whose announcements stopped may only have lost
+        // its connection to the nodes that accept them.
         if (record.description == nullptr || ((left || expired) && !this->settings.relay.listen))
             continue;
         const bool draining = left || (!expired && !record.isUsable());
         table.endpoints[record.id] = RegisteredEndpoint{*record.description, draining, expired};
     }
-    dropFormerHolders(table);
+    removeReplacedEndpoints(table);
     if (this->registry->assign(std::move(table)))
         this->hooks.endpointsChanged();
 }
@@ -354,8 +356,9 @@
     if (!this->membership)
         return;
     asio::post(this->strand, [self = this->shared_from_this(), news = std::move(news)]() mutable {
-        // A burst above this is dropped: the news are late by then, and reports correct the view.
-        if (self->pendingNews.size() < longestNewsQueue)
+        // News beyond the limit are dropped: they would arrive late, and load reports correct the
+        // peers' view.
+        if (self->pendingNews.size() < newsQueueLimit)
             self->pendingNews.push_back(std::move(news));
         self->armFlush();
     });
@@ -393,7 +396,7 @@
 {
     const std::uint64_t lost = this->newsLost();
     const state::Instant now = monotonicNow();
-    if (lost == this->lostNewsLogged || now < this->lostNewsLoggedAt + newsLossLogged)
+    if (lost == this->lostNewsLogged || now < this->lostNewsLoggedAt + newsLossLogInterval)
         return;
     this->lostNewsLogged = lost;
     this->lostNewsLoggedAt = now;
--- a/src/program/Cluster.h
+++ b/src/program/Cluster.h
@@ -1,5 +1,5 @@
-// This entry among the others: membership, the directory answer, endpoint announcements and the
-// news of work between entries. Without a gossip address the node stands alone.
+// Connects this entry with the others: membership, directory answers, endpoint announcements and
+// the notes on work that entries send each other. Without a gossip address it is a single node.
 #pragma once
 
 #include "coordination/consensus/MemberPlan.h"
@@ -33,24 +33,24 @@
         std::function<void()> endpointsChanged; // the registry has a new table
         std::function<void(const state::LoadReport &)> loadArrived;
         std::function<void(const protocol::PeerNews &)> newsArrived;
-        std::function<void()> superseded; // another process runs under this id
+        std::function<void()> superseded; // another process with this VM id has replaced this one
     };
 
-    // This process, as the others are to know it.
+    // How this process identifies itself to the others.
     struct Self
     {
-        std::uint64_t incarnation = 0; // grows with each start; claims name it too
-        state::VmId controlIdentity;   // of its data folder; empty unless it is a control member
+        std::uint64_t incarnation = 0; // grows with each start; claims carry it too
+        state::VmId controlIdentity;   // from its data folder; empty unless it is a control member
     };
 
-    // Errors: Unavailable, steps "gossip.bind".
+    // Errors: Unavailable, step "gossip.bind".
     static state::Result<std::shared_ptr<Cluster>>
     create(const Settings &settings, boost::asio::io_context &context,
            std::shared_ptr<EndpointRegistry> registry, const Self &self, Hooks hooks);
 
     void start();
     void stop();
-    // What the others are told of this entry. Any thread.
+    // Sets what this entry tells the others about itself. Any thread.
     void setPhase(coordination::membership::MemberPhase phase, bool ready,
                   std::uint64_t tableVersion);
 
@@ -58,23 +58,24 @@
     boost::asio::awaitable<state::Result<AnnounceAnswer>>
     announce(state::EndpointDescription endpoint);
     void leave(const state::EndpointId &endpoint, std::uint64_t incarnation);
-    // Answered when the news is on its way to the others. Errors as EndpointLife::leave.
+    // Complete when the deregistration is acknowledged; see MembershipService::leave. Errors as
+    // EndpointLife::leave.
     boost::asio::awaitable<state::Result<void>> drain(state::EndpointDescription endpoint);
     boost::asio::awaitable<state::Result<void>> withdraw(state::EndpointId endpoint,
                                                          std::optional<std::uint64_t> incarnation);
-    // Where callers of that failure domain find a node that relays.
+    // Addresses of relay nodes for callers in that failure domain.
     std::vector<state::Address> relays(const state::FailureDomain &callers) const;
-    // The control members that live, as far as known.
+    // The control members that are believed to be alive; those of the settings if there are none.
     std::vector<ControlMemberAddress> controlMembers() const;
     std::vector<coordination::consensus::Candidate> controlCandidates() const;
-    // Whether that process of an entry is known to have ended: it was given up, or a later one runs
-    // there. Of an entry that was forgotten nothing is known.
+    // Whether that process of an entry is known to have ended: it is not live any more, or a later
+    // process runs there. False for an entry that was removed from the table: nothing is known.
     bool hasEnded(const state::VmId &entry, std::uint64_t incarnation) const;
     void reportLoad(const state::LoadReport &report);
     void markDrain(const state::EndpointId &endpoint, state::log::LogPosition position,
                    bool draining);
     void share(protocol::PeerNews news);
-    // Datagrams with news that were never sent, since the start. Any thread.
+    // Peer news datagrams that were never sent, since the start. Any thread.
     std::uint64_t newsLost() const;
 
     std::shared_ptr<MembershipService> service() const { return this->membership; }
@@ -108,13 +109,13 @@
     std::shared_ptr<EndpointRegistry> registry;
     Hooks hooks;
     coordination::directory::Directory chooser;
-    std::shared_ptr<MembershipService> membership; // null if the node stands alone
+    std::shared_ptr<MembershipService> membership; // null on a single node
     Strand strand;
     boost::asio::steady_timer flushTimer;
     std::shared_ptr<transport::GossipSocket> newsSocket;
     std::vector<protocol::PeerNews> pendingNews; // on the strand
     bool flushArmed = false;
-    std::uint64_t lostNewsLogged = 0; // what the last line told
+    std::uint64_t lostNewsLogged = 0; // the count in the last log line
     state::Instant lostNewsLoggedAt{};
 };
 
--- a/src/program/DispatcherScheduler.cpp
+++ b/src/program/DispatcherScheduler.cpp
@@ -1,4 +1,5 @@
-// Events go in on one strand, actions are carried out there; waiting relays get theirs by callback.
+// The dispatcher handles events on one strand, and its actions are executed there. Waiting relays
+// receive their result through a callback.
 #include "program/DispatcherScheduler.h"
 
 #include "program/Clock.h"
@@ -32,10 +33,10 @@
 namespace {
 
 constexpr milliseconds engineCallTimeout{2'000};
-// An engine answers a reservation within a few milliseconds or not at all.
+// An engine answers a reservation request within a few milliseconds or not at all.
 constexpr milliseconds reserveAnswerTime{400};
 constexpr milliseconds releaseAnswerTime{500};
-constexpr milliseconds releaseTime{3'500}; // the lease has ended by itself then
+constexpr milliseconds releaseTime{3'500}; // the lease has expired by then
 
 } // namespace
 
@@ -49,14 +50,14 @@
 {
     using Answer = std::function<void(PlacementResult)>;
 
-    // One request between place and finished.
+    // A request between place() and finished().
     struct Pending
     {
-        Answer waiter;                        // of the relay, while it waits
-        std::optional<PlacementResult> ready; // came while it did not wait
-        std::optional<Placement> last;        // what was handed out last
-        std::function<void()> interrupt;      // of the relay; see ScheduledRequest
-        std::function<void(bool)> move;       // of the relay, while it asks whether it may
+        Answer waiter;                        // the relay's callback while it waits
+        std::optional<PlacementResult> ready; // arrived while the relay was not waiting
+        std::optional<Placement> last;        // the last placement that the relay was given
+        std::function<void()> interrupt;      // the relay's; see ScheduledRequest
+        std::function<void(bool)> move;       // the relay's callback while it waits in mayAbandon()
     };
 
     State(asio::io_context &context, const Settings &settings,
@@ -111,12 +112,12 @@
         }
         const Answer waiter = std::exchange(request.waiter, {});
         const bool over = !result && !request.last;
-        if (over) // refused before any placement: the relay does not call finished
+        if (over) // refused before any placement: the relay does not call finished()
             this->pending.erase(found);
         waiter(std::move(result));
     }
 
-    // Gives the relay what has come for it meanwhile, or keeps it waiting.
+    // Calls `waiter` with the result that is ready, or keeps it until there is one.
     void await(const state::RequestId &id, Answer waiter)
     {
         Pending &request = this->pending[id];
@@ -133,7 +134,7 @@
         const auto table = this->registry->table();
         const auto known = table->endpoints.find(action.engine);
         if (known == table->endpoints.end()) {
-            // The registry lost it a moment before the policy heard of it.
+            // The registry has removed the engine, and the dispatcher does not know it yet.
             asio::post(this->strand, [this, action] {
                 this->handle(admission::AttemptFailed{action.id, action.attempt, true});
             });
@@ -197,7 +198,7 @@
     {
         const auto found = this->pending.find(id);
         if (found == this->pending.end()) {
-            answer(false); // it ended in the meantime
+            answer(false); // the request has ended in the meantime
             return;
         }
         found->second.move = std::move(answer);
@@ -262,7 +263,7 @@
             this->hooks.shareBacklog(action.note);
     }
 
-    // `answered` gets the status, 0 if there was none, on the strand.
+    // `answered` is called on the strand with the HTTP status; 0: no answer.
     void callEngine(const std::string &method, const std::string &target, state::Address engine,
                     std::string body, std::function<void(unsigned)> answered = {})
     {
@@ -274,8 +275,9 @@
         this->send(std::move(request), std::move(engine), engineCallTimeout, std::move(answered));
     }
 
-    // A release that is lost would keep the memory until the lease ends, and the next long prompt
-    // out of it. Repeating it harms nothing: lease names are never used twice.
+    // Repeats a release until the engine answers or `until` has passed. A lost release would keep
+    // the memory reserved until the lease expires, and the next long prompt could not use it.
+    // Repeating a release is safe: lease names are never reused.
     void releaseUntilAnswered(protocol::HttpRequest request, state::Address engine,
                               state::Instant until)
     {
@@ -283,8 +285,8 @@
         constexpr unsigned serverErrors = 500;
         this->send(request, engine, releaseAnswerTime,
                    [this, request, engine, until](unsigned status) {
-                       const bool settled = status >= answeredFrom && status < serverErrors;
-                       if (!settled && monotonicNow() < until)
+                       const bool processed = status >= answeredFrom && status < serverErrors;
+                       if (!processed && monotonicNow() < until)
                            this->releaseUntilAnswered(request, engine, until);
                    });
     }
@@ -298,19 +300,20 @@
         asio::co_spawn(
                 this->strand,
                 [](asio::any_io_executor executor, state::Address peer, protocol::HttpRequest call,
-                   transport::HttpCallLimits bounds,
-                   std::function<void(unsigned)> tell) -> asio::awaitable<void> {
-                    const auto response =
-                            co_await transport::httpCall(executor, peer, std::move(call), bounds);
-                    if (tell)
-                        tell(response ? response.value().status : 0);
+                   transport::HttpCallLimits callLimits,
+                   std::function<void(unsigned)> onStatus) -> asio::awaitable<void> {
+                    const auto response = co_await transport::httpCall(executor, peer,
+                                                                       std::move(call), callLimits);
+                    if (onStatus)
+                        onStatus(response ? response.value().status : 0);
                 }(this->strand, std::move(engine), std::move(request), limits, std::move(answered)),
                 asio::detached);
     }
 
-    // A crashed engine stays in the table until its renewals are missed. Without this every request
-    // that is placed meanwhile finds its port closed, and some run out of attempts there. It is
-    // taken up again after a while, or at once when it announces a new incarnation.
+    // Records how an attempt ended, and stops using an engine that becomes suspect. A crashed
+    // engine stays in the table until its renewals are missed. Without the suspicion, every request
+    // placed there meanwhile would find its port closed, and some would run out of attempts. The
+    // engine is used again after a while, or at once when it announces a new incarnation.
     void noteHealth(const state::EndpointDescription &endpoint, AttemptHealth outcome)
     {
         const bool suspect =
@@ -336,8 +339,8 @@
         }
     }
 
-    // The caller is gone: the flight ends, and a relay that waits is woken without an answer to
-    // give.
+    // The caller has disconnected: ends the request and resumes a waiting relay, which has nobody
+    // left to answer.
     void cancel(const state::RequestId &id)
     {
         this->handle(admission::CallerCancelled{id});
@@ -359,7 +362,8 @@
         return found->second;
     }
 
-    // What the engine has not said of itself, from its service's profile.
+    // Fills in the capacity and speeds, which such an engine does not announce, from its service's
+    // profile, if there is one.
     static state::EndpointDescription
     described(state::EndpointDescription endpoint,
               const std::optional<state::routes::EngineProfile> &profile)
@@ -388,7 +392,8 @@
     void refreshEndpoints()
     {
         const auto table = this->registry->table();
-        // Work in declared passes is watched by its relay; a suspicion only keeps new work away.
+        // The relay itself monitors attempts on engines with a declared profile; suspecting such an
+        // engine only keeps new work away.
         const auto isGone = [&](const auto &known) {
             const auto listed = table->endpoints.find(known.first);
             return listed == table->endpoints.end()
@@ -437,7 +442,7 @@
     admission::Dispatcher dispatcher;
     std::unordered_map<state::RequestId, Pending> pending;
     EndpointHealth health; // a crashed engine stays announced until its renewals are missed
-    std::map<state::EndpointId, RegisteredEndpoint> announced; // as the dispatcher knows them
+    std::map<state::EndpointId, RegisteredEndpoint> announced; // as the dispatcher was told
     std::map<state::ServiceName, state::routes::EngineProfile> profiles;
 };
 
@@ -481,7 +486,7 @@
 Scheduler DispatcherScheduler::scheduler()
 {
     const auto self = this->shared_from_this();
-    // Posts to the strand; `begin` runs there right before the relay is made to wait.
+    // Posts to the strand: registers the relay's callback there, then runs `begin`.
     const auto waitFor = [self](const state::RequestId &id, std::function<void(State &)> begin) {
         return transport::awaitCallback<PlacementResult>(
                 [self, id, begin = std::move(begin)](State::Answer waiter) {
--- a/src/program/DispatcherScheduler.h
+++ b/src/program/DispatcherScheduler.h
@@ -1,5 +1,4 @@
-// Drives the admission and routing state machine of this entry: one strand, its timer, and the
-// relays' coroutines that wait for their placement.
+// Runs the admission and routing state machine of this entry.
 #pragma once
 
 #include "coordination/admission/Dispatcher.h"
@@ -17,15 +16,17 @@
 
 namespace lavenderthread::program {
 
+// Runs the dispatcher on one strand with one timer, and resumes the relays' coroutines when their
+// placement is decided.
 class DispatcherScheduler : public std::enable_shared_from_this<DispatcherScheduler>
 {
 public:
     struct Hooks
     {
-        // To the entries that route to the same engines; may be empty for a node alone.
+        // Send to the entries that route to the same engines; may be empty for a single node.
         std::function<void(const coordination::routing::WorkNote &)> shareWork;
         std::function<void(const coordination::admission::BacklogNote &)> shareBacklog;
-        MemoryOrders memory; // for engines that work in declared passes
+        MemoryOrders memory; // requests that reserve memory on engines with a declared profile
     };
 
     static std::shared_ptr<DispatcherScheduler>
@@ -34,17 +35,17 @@
            std::shared_ptr<EndpointRegistry> registry, Hooks hooks);
     ~DispatcherScheduler();
 
-    // What the relays use. The functions keep this object alive.
+    // The interface for the relays. Its functions keep this object alive.
     Scheduler scheduler();
 
-    // News of engines, table and peers, from any thread.
+    // Passes an event from engines, the table or peers to the dispatcher. Any thread.
     void post(coordination::admission::Event event);
-    // Brings the policy's engines in line with the registry's table.
+    // Updates the dispatcher's engines from the registry's table. Any thread.
     void refreshEndpoints();
-    // How the engines of these services work, as operators declare it.
+    // Sets the engine profiles that operators declare, by service. Any thread.
     void setProfiles(std::map<state::ServiceName, state::routes::EngineProfile> profiles);
 
-    struct State; // only touched on the strand
+    struct State; // accessed on the strand only
     explicit DispatcherScheduler(std::unique_ptr<State> state);
 
 private:
--- a/src/program/EndpointRegistry.cpp
+++ b/src/program/EndpointRegistry.cpp
@@ -1,5 +1,5 @@
-// Writers change a private table under a mutex and publish a copy, but only when something that
-// readers see has changed: renewals alone copy nothing.
+// Writers change a private table under a mutex and publish a copy only if something that readers
+// see has changed: a renewal alone copies nothing.
 #include "program/EndpointRegistry.h"
 
 namespace lavenderthread::program {
@@ -29,7 +29,7 @@
         this->lastHeard[endpoint.id] = now;
         if (known->second.description == endpoint)
             return state::outcome::success();
-        // A restart ends the drain of the incarnation before it only if an operator says so.
+        // A restart does not end the drain of the previous incarnation; only an operator does.
         known->second.description = endpoint;
     } else {
         this->lastHeard[endpoint.id] = now;
@@ -77,8 +77,8 @@
 {
     const std::lock_guard lock(this->writers);
     std::vector<state::EndpointId> dropped;
-    for (const auto &[id, heard] : this->lastHeard) {
-        if (now - heard > this->expiry)
+    for (const auto &[id, renewedAt] : this->lastHeard) {
+        if (now - renewedAt > this->expiry)
             dropped.push_back(id);
     }
     for (const state::EndpointId &id : dropped) {
--- a/src/program/EndpointRegistry.h
+++ b/src/program/EndpointRegistry.h
@@ -1,5 +1,4 @@
-// The endpoints that this entry may route to, as an immutable table that the request path reads
-// without a lock.
+// The endpoints that this entry may route to.
 #pragma once
 
 #include "state/Endpoint.h"
@@ -15,8 +14,8 @@
 struct RegisteredEndpoint
 {
     state::EndpointDescription description;
-    bool draining = false; // gets no new work; what it runs goes on
-    bool stale = false;    // its announcements have stopped; the last resort for new work
+    bool draining = false; // gets no new work; running work continues
+    bool stale = false;    // its announcements have stopped; gets new work only as a last resort
 
     auto operator<=>(const RegisteredEndpoint &) const = default;
 };
@@ -27,10 +26,12 @@
 
     bool operator==(const EndpointTable &) const = default;
 
-    // The endpoint if it is alive under that incarnation.
+    // The endpoint if it is listed with that incarnation, or null.
     const RegisteredEndpoint *find(const state::EndpointId &id, std::uint64_t incarnation) const;
 };
 
+// Holds the current table and publishes immutable copies, which the request path reads without a
+// lock.
 class EndpointRegistry
 {
 public:
@@ -38,23 +39,26 @@
 
     state::SnapshotView<EndpointTable> table() const { return this->published.read(); }
 
-    // New, renewed or restarted. Error: Conflict if a higher incarnation is known.
+    // Adds, renews or restarts an endpoint. Error: Conflict if a higher incarnation is known.
     state::Result<void> announce(const state::EndpointDescription &endpoint, state::Instant now);
     // False if the endpoint is not known under that incarnation.
     bool leave(const state::EndpointId &id, std::uint64_t incarnation);
+    // False if the endpoint is not known.
     bool setDraining(const state::EndpointId &id, bool draining);
-    // Takes over the whole table as membership knows it; true if it differs from the one before.
+    // Replaces the whole table by the one from membership; true if it differs from the previous
+    // one.
     bool assign(EndpointTable table);
-    // Drops endpoints that have not renewed in time; gives those dropped.
+    // Removes endpoints that have not renewed in time and returns their ids.
     std::vector<state::EndpointId> expire(state::Instant now);
 
 private:
-    void publish(); // caller holds the mutex
+    void publish(); // the caller must hold the mutex
 
     state::Duration expiry;
-    std::mutex writers; // never held across I/O; readers don't take it
+    std::mutex writers; // never held during I/O; readers don't take it
     EndpointTable current;
-    std::map<state::EndpointId, state::Instant> lastHeard; // same keys as current
+    // On a single node, the same keys as `current`.
+    std::map<state::EndpointId, state::Instant> lastHeard;
     state::Snapshot<EndpointTable> published;
 };
 
--- a/src/program/LocalClaims.cpp
+++ b/src/program/LocalClaims.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t mostClaims = 100'000;
+constexpr std::size_t claimLimit = 100'000;
 
 class LocalClaims
 {
@@ -22,8 +22,8 @@
         const std::lock_guard lock(this->mutex);
         const auto known = this->claims.find(key);
         if (known == this->claims.end()) {
-            // Forgetting a claim could let its call run twice; refusing a new one can't.
-            if (this->claims.size() >= mostClaims)
+            // Refuses the new claim instead of evicting one: evicting could let a call run twice.
+            if (this->claims.size() >= claimLimit)
                 return state::makeError(state::ErrorCode::Overloaded, "claim.take",
                                         "too many claims are held");
             this->claims[key] = Claim{body, attempt, Phase::Taken, {}};
--- a/src/program/Log.cpp
+++ b/src/program/Log.cpp
@@ -1,4 +1,4 @@
-// Log lines through spdlog, to standard output.
+// Writes log lines to standard output through spdlog.
 #include "program/Log.h"
 
 #include "program/LogSink.h"
@@ -42,7 +42,7 @@
     return *instance;
 }
 
-// A peer chooses some values; quoting keeps one event on one line whatever they hold.
+// Peers control some values; quoting keeps an event on one line whatever they contain.
 void appendValue(std::string &line, std::string_view value)
 {
     const bool plain = !value.empty() && value.find_first_of(" \"\\=") == std::string_view::npos
@@ -99,9 +99,9 @@
     , value(std::to_string(value))
 {}
 
-void configureLog(LogLevel least)
+void configureLog(LogLevel minimumLevel)
 {
-    logger().set_level(toSpdlog(least));
+    logger().set_level(toSpdlog(minimumLevel));
 }
 
 void flushLog()
--- a/src/program/Log.h
+++ b/src/program/Log.h
@@ -1,5 +1,5 @@
-// Structured logs: one event, one line, key=value pairs, `event=` first. docs/operators/logs.md
-// lists the events. Keys, bearer tokens and prompt text never go into a log.
+// Structured logs: one line per event, with key=value pairs and `event=` first.
+// docs/operators/logs.md lists the events. Never log keys, bearer tokens or prompt text.
 #pragma once
 
 #include "state/Error.h"
@@ -13,7 +13,7 @@
 
 enum class LogLevel { Debug, Info, Warning, Error };
 
-// One pair; numbers become text at once, so that a line costs one allocation a value.
+// A key=value pair. Numbers become text at once, so that a line costs one allocation per value.
 struct LogField
 {
     LogField(std::string_view key, std::string_view value);
@@ -28,19 +28,19 @@
     std::string value;
 };
 
-// Chooses the level for the whole process; lines go to standard output. Before the first call,
-// Info.
-void configureLog(LogLevel least);
+// Sets the minimum level for the whole process; lines go to standard output. Default: Info.
+void configureLog(LogLevel minimumLevel);
 
-// Writes out what waits, without waiting for a reader; call it a few times a second. Warnings and
+// Writes buffered lines without waiting for a reader; call it a few times a second. Warnings and
 // errors are written at once.
 void flushLog();
 
 void logEvent(LogLevel level, std::string_view event, std::initializer_list<LogField> fields);
-// The error's code, step, peer and cause as pairs.
+// Logs the error's code, step, peer and cause.
 void logError(std::string_view event, const state::Error &error);
 
-// The line without its time stamp; values with blanks, quotes or control characters are quoted.
+// The line without its time stamp and level; empty values and values with blanks, quotes,
+// backslashes, `=` or control characters are quoted.
 std::string formatEvent(std::string_view event, std::initializer_list<LogField> fields);
 
 } // namespace lavenderthread::program
--- a/src/program/LogSink.cpp
+++ b/src/program/LogSink.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr std::size_t flushBytes = 4'096; // below it lines wait for the next flush
-constexpr int lastWaitMs = 500;           // at the end of the process
+constexpr std::size_t flushBytes = 4'096; // fewer buffered bytes wait for the next flush
+constexpr int exitWriteTimeoutMs = 500;   // wait for the reader at process exit
 
 } // namespace
 
@@ -19,9 +19,9 @@
 {
     while (!this->buffer.empty()) {
         const std::size_t before = this->buffer.size();
-        this->writeSome(lastWaitMs);
+        this->writeSome(exitWriteTimeoutMs);
         if (this->buffer.size() == before)
-            return; // nobody reads any more
+            return; // the reader is gone or stalled
     }
 }
 
@@ -65,8 +65,8 @@
     return true;
 }
 
-// A pipe that is ready takes PIPE_BUF bytes without blocking; asking first for each piece keeps the
-// process from waiting for a reader that stands still.
+// Polls before each write of at most PIPE_BUF bytes: a pipe that is ready takes that many without
+// blocking, so a stalled reader never blocks the process.
 void LogSink::writeSome(int waitMs)
 {
     while (!this->buffer.empty()) {
--- a/src/program/LogSink.h
+++ b/src/program/LogSink.h
@@ -1,5 +1,5 @@
-// Where log lines go: standard output, through a buffer that never makes the process wait for
-// whoever reads it, and that lets only so many lines a second through.
+// Writes log lines to standard output through a buffer that never blocks the process on a slow
+// reader, with a limit of lines per second.
 #pragma once
 
 #include <spdlog/sinks/base_sink.h>
@@ -14,10 +14,10 @@
 
 struct LogSinkSettings
 {
-    int descriptor = 1;
+    int descriptor = 1;                    // standard output
     std::size_t bufferBytes = 256U << 10U; // lines beyond it are dropped and counted
-    // A relayed request writes one line. This many a second is three times what one entry of the
-    // planned size relays; debugging and floods of one fault stay under it.
+    // A relayed request writes one line. This rate is three times what one entry of the planned
+    // size relays; it caps debug output and floods of one fault. Errors are not limited.
     double linesPerSecond = 500;
     double burstLines = 1'000;
 };
@@ -31,7 +31,7 @@
     {}
     ~LogSink() override;
 
-    // Lines that were dropped since the last call.
+    // The number of lines dropped since the last call.
     std::uint64_t takeDropped();
 
 protected:
@@ -43,7 +43,7 @@
     void writeSome(int waitMs);
 
     LogSinkSettings settings;
-    std::string buffer; // whole lines, but for the first one, which may be written in part
+    std::string buffer; // whole lines, except that a part of the first may already be written
     double tokens;
     std::chrono::steady_clock::time_point filledAt{};
     std::uint64_t dropped = 0;
--- a/src/program/MembershipService.cpp
+++ b/src/program/MembershipService.cpp
@@ -1,4 +1,4 @@
-// Timers, datagrams and calls from other threads, all on one strand.
+// Timers, datagrams and calls from other threads are all handled on one strand.
 #include "program/MembershipService.h"
 
 #include "program/Clock.h"
@@ -21,8 +21,8 @@
 
 namespace {
 
-// Endpoints wait about a second for an answer before they turn to another member.
-constexpr state::Duration longestAcknowledgement = std::chrono::milliseconds(500);
+// Must stay below the second or so that an endpoint waits before it tries another member.
+constexpr state::Duration acknowledgementTimeout = std::chrono::milliseconds(500);
 
 } // namespace
 
@@ -33,8 +33,8 @@
     const Strand strand(context.get_executor());
     if (settings.keys.keys.empty())
         return state::makeError(state::ErrorCode::InvalidArgument, "membership.create",
-                                "needs a key");
-    // The socket is bound first, since its port is part of what the member says of itself.
+                                "at least one gossip key is required");
+    // The socket is bound first, since its port is part of the member's description.
     const auto target = std::make_shared<std::weak_ptr<MembershipService>>();
     BOOST_OUTCOME_TRY(auto socket,
                       transport::GossipSocket::create(
@@ -47,23 +47,25 @@
         settings.gossip.description.gossip.port = socket->address().port;
     const state::Instant now = monotonicNow();
     BOOST_OUTCOME_TRY(auto membership, Membership::create(settings.gossip, now));
-    BOOST_OUTCOME_TRY(auto life,
+    BOOST_OUTCOME_TRY(auto initialLifecycle,
                       EndpointLife::create(settings.endpointLife, settings.gossip.self, now));
-    std::shared_ptr<MembershipService> made(new MembershipService(
-            std::move(settings), strand, std::move(hooks), std::move(membership), std::move(life)));
-    made->socket = std::move(socket);
-    made->publishView(now);
-    *target = made;
-    return made;
+    std::shared_ptr<MembershipService> created(
+            new MembershipService(std::move(settings), strand, std::move(hooks),
+                                  std::move(membership), std::move(initialLifecycle)));
+    created->socket = std::move(socket);
+    created->publishView(now);
+    *target = created;
+    return created;
 }
 
 MembershipService::MembershipService(MembershipServiceSettings chosen, Strand onStrand,
-                                     Hooks chosenHooks, Membership first, EndpointLife life)
+                                     Hooks chosenHooks, Membership initialMembership,
+                                     EndpointLife initialLifecycle)
     : settings(std::move(chosen))
     , strand(std::move(onStrand))
     , hooks(std::move(chosenHooks))
-    , membership(std::move(first))
-    , endpointLife(std::move(life))
+    , membership(std::move(initialMembership))
+    , endpointLife(std::move(initialLifecycle))
     , timer(this->strand)
 {}
 
@@ -128,8 +130,8 @@
 {
     asio::post(this->strand, [self = this->shared_from_this(), endpoint, done = std::move(done)] {
         const state::Instant now = monotonicNow();
-        // Announced first, so that the others learn of this incarnation that it leaves, and not of
-        // one before. If it has left already, announcing it changes nothing.
+        // Announced first, so that the others learn that this incarnation leaves, and not an
+        // earlier one. If it has already left, the announcement changes nothing.
         const auto record = self->endpointLife.announce(endpoint, self->world(), now);
         if (record && record.value())
             self->publishRecord(*record.value(), now);
@@ -138,8 +140,9 @@
     });
 }
 
-// At once if nothing is on its way; else when all live members know, or after a time in which those
-// that can be reached do and the endpoint does not yet turn to another member.
+// Answers at once if no confirmation is outstanding. Otherwise answers when all live members have
+// confirmed, or after a timeout: by then all reachable members know of it, and the endpoint has not
+// yet tried another member.
 void MembershipService::acknowledge(const state::EndpointId &endpoint,
                                     const state::Result<void> &left, const LeaveHandler &done,
                                     state::Instant now)
@@ -155,7 +158,7 @@
 void MembershipService::answerWaitingLeaves(state::Instant now)
 {
     const auto waits = [&](const WaitingLeave &each) {
-        return now - each.since < longestAcknowledgement
+        return now - each.since < acknowledgementTimeout
                && !this->membership.isDeregisteredEverywhere(each.endpoint);
     };
     const auto answered =
@@ -250,7 +253,7 @@
     if (now >= this->nextSecond) {
         this->nextSecond = now + second;
         this->tickEndpoints(now);
-        this->membersDirty = true; // statuses change without news
+        this->membersDirty = true; // statuses also change without gossip updates
     }
     if (now >= this->nextLoads) {
         this->nextLoads = now + this->settings.loadInterval;
--- a/src/program/MembershipService.h
+++ b/src/program/MembershipService.h
@@ -1,5 +1,5 @@
-// Runs gossip and the life of endpoints on one strand, and publishes what they know for the request
-// path.
+// Runs gossip membership and the endpoint lifecycle on one strand, and publishes their state for
+// the request path.
 #pragma once
 
 #include "coordination/endpoints/EndpointLife.h"
@@ -24,44 +24,46 @@
 {
     coordination::membership::MembershipSettings gossip;
     protocol::SealKeys keys;
-    state::Address listen; // the gossip address that others are told has its port, if that is 0
+    // If the port of the gossip address in the description is 0, the bound port is announced.
+    state::Address listen;
     coordination::endpoints::EndpointLifeSettings endpointLife;
     state::Duration loadInterval = std::chrono::seconds(3);
-    // How long every member has at most to confirm a table, and its status to arrive.
+    // The longest time until every member has confirmed a table and its status has arrived.
     state::Duration tableSpreadTime = std::chrono::seconds(30);
 };
 
-// What an endpoint is answered.
+// The answer to an endpoint's announcement.
 struct AnnounceAnswer
 {
     state::Duration renewAfter{};
     state::Duration expiresAfter{};
-    state::Address owner; // caller address of the endpoint's owner; port 0 if nobody serves yet
+    state::Address owner; // caller address of the endpoint's owner; port 0 if no entry serves yet
 
     bool operator==(const AnnounceAnswer &) const = default;
 };
 
-// How the acknowledgement of a deregistration came about.
+// How a deregistration was acknowledged.
 struct LeaveOutcome
 {
     state::EndpointId endpoint;
     state::Duration took{};
-    bool knownToAll = false; // or it was given before all live members had confirmed
+    bool knownToAll = false; // false: acknowledged before all live members had confirmed it
 };
 
 class MembershipService : public std::enable_shared_from_this<MembershipService>
 {
 public:
-    // Called on the strand; must not block. Empty ones are left out.
+    // Called on the strand; must not block. Each of them may be empty.
     struct Hooks
     {
-        std::function<void(const MembershipView &)> changed; // after the view was published
+        std::function<void(const MembershipView &)> changed; // after a view was published
         std::function<void(const state::LoadReport &)>
                 loadArrived; // of endpoints announced elsewhere
-        std::function<void(const coordination::membership::HeardEnd &)> endHeard; // may be empty
-        std::function<void(const LeaveOutcome &)> leaveAcknowledged;              // may be empty
-        std::function<void()> superseded;                  // stop this process; called once
-        std::function<void(const state::Error &)> refused; // a datagram; peer is its sender
+        std::function<void(const coordination::membership::HeardEnd &)> endHeard;
+        std::function<void(const LeaveOutcome &)> leaveAcknowledged;
+        std::function<void()> superseded; // the process must stop; called once
+        // A datagram was refused; `peer` is its sender.
+        std::function<void(const state::Error &)> refused;
     };
     using AnnounceHandler = std::function<void(state::Result<AnnounceAnswer>)>;
 
@@ -71,20 +73,20 @@
 
     // All of these may be called from any thread.
     void start();
-    void stop(); // closes the socket; no hook is called after those already queued
+    void stop(); // closes the socket; only hooks that are already queued are still called
     void setSelf(const coordination::membership::SelfState &self);
     // `done` is called on the strand. Errors as EndpointLife::announce.
     void announce(const state::EndpointDescription &endpoint, AnnounceHandler done = {});
     using LeaveHandler = std::function<void(state::Result<void>)>;
-    // Without an incarnation the one that is known leaves. `done` is called on the strand once the
-    // news is on its way. Errors as EndpointLife::leave.
+    // Without an incarnation, the known one leaves. `done` is called on the strand when all live
+    // members have confirmed it, or after a time limit. Errors as EndpointLife::leave.
     void leave(const state::EndpointId &endpoint, std::optional<std::uint64_t> incarnation,
                LeaveHandler done = {});
-    // An endpoint that says it is leaving, also one that was not heard of here before.
+    // Takes a leave notice of an endpoint, also of one that is not known here yet.
     void drain(const state::EndpointDescription &endpoint, LeaveHandler done = {});
-    // Load of an endpoint announced here; goes on to the entries that watch it.
+    // Load of an endpoint announced here; forwarded to the entries that watch it.
     void reportLoad(const state::LoadReport &report);
-    // A committed drain or undrain, at its position in the replicated log. May come again.
+    // A committed drain or undrain, with its position in the replicated log. May be repeated.
     void markDrain(const state::EndpointId &endpoint,
                    const coordination::endpoints::DrainMark &mark);
 
@@ -95,8 +97,8 @@
     using Strand = boost::asio::strand<boost::asio::io_context::executor_type>;
 
     MembershipService(MembershipServiceSettings chosen, Strand onStrand, Hooks chosenHooks,
-                      coordination::membership::Membership first,
-                      coordination::endpoints::EndpointLife life);
+                      coordination::membership::Membership initialMembership,
+                      coordination::endpoints::EndpointLife initialLifecycle);
 
     void received(std::string_view datagram, const state::Address &from);
     void scheduleTick();
@@ -115,7 +117,7 @@
     AnnounceAnswer answerFor(const state::EndpointDescription &endpoint) const;
     coordination::endpoints::EndpointWorld world() const;
 
-    // All but `published` and `socket`'s address is touched on the strand only.
+    // Accessed on the strand only, except `published` and the address of `socket`.
     MembershipServiceSettings settings;
     Strand strand;
     Hooks hooks;
@@ -125,7 +127,8 @@
     boost::asio::steady_timer timer;
     state::Instant nextSecond;
     state::Instant nextLoads;
-    std::map<state::EndpointId, state::LoadReport> ownLoads; // newest, not yet sent
+    // The newest per endpoint, not yet sent.
+    std::map<state::EndpointId, state::LoadReport> ownLoads;
     struct TableVersionAt
     {
         std::uint64_t version = 0;
@@ -137,8 +140,10 @@
         state::Instant since;
         LeaveHandler done;
     };
-    std::vector<WaitingLeave> waitingLeaves;  // until all live members know, or for a time
-    std::deque<TableVersionAt> tableVersions; // rising; the first is old enough to be required
+    // Answered when all live members have confirmed, or after a time limit.
+    std::vector<WaitingLeave> waitingLeaves;
+    // Ascending; the first may be old enough to be required.
+    std::deque<TableVersionAt> tableVersions;
     bool membersDirty = true;
     bool endpointsDirty = true;
     bool wasSynced = false;
--- a/src/program/MembershipView.cpp
+++ b/src/program/MembershipView.cpp
@@ -1,4 +1,4 @@
-// Indexes of the endpoints by what callers ask for.
+// Indexes the endpoints by model and by service.
 #include "program/MembershipView.h"
 
 #include <algorithm>
--- a/src/program/MembershipView.h
+++ b/src/program/MembershipView.h
@@ -1,4 +1,4 @@
-// What the request path reads of the cluster: immutable, replaced whole on every change.
+// An immutable view of the cluster for the request path, replaced as a whole on every change.
 #pragma once
 
 #include "coordination/endpoints/EndpointTable.h"
@@ -13,17 +13,18 @@
 
 struct EndpointState
 {
-    coordination::endpoints::EndpointRecord record; // isUsable() tells whether it takes new work
-    state::VmId owner; // audits its memory and grants reservations of it; empty if nobody serves
+    coordination::endpoints::EndpointRecord record; // isUsable(): it takes new work
+    // The entry that audits its memory and grants reservations of it; empty if no entry serves.
+    state::VmId owner;
 
     bool operator==(const EndpointState &) const = default;
 };
 
-// All endpoints that were ever described here and are not forgotten.
+// All endpoints that have been described to this member and not removed since.
 struct EndpointsView
 {
-    std::vector<EndpointState> endpoints; // by id
-    // Positions in `endpoints` of those that take new work.
+    std::vector<EndpointState> endpoints; // sorted by id
+    // Indexes into `endpoints`; only endpoints that take new work.
     std::map<state::ModelName, std::vector<std::size_t>> enginesOfModel;
     std::map<state::ServiceName, std::vector<std::size_t>> replicasOfService;
 
@@ -34,15 +35,15 @@
 
 struct MembershipView
 {
-    // The parts are never null and are shared between views that don't differ in them.
+    // Never null. Views that don't differ in a part share it.
     std::shared_ptr<const coordination::membership::MemberTable> members;
     std::shared_ptr<const coordination::ownership::OwnerRing> ring;
     std::shared_ptr<const EndpointsView> endpoints;
-    bool synced = false;     // knows what the others know; before, don't serve
-    bool isolated = false;   // hears no other member: free nothing, judge nobody
-    bool superseded = false; // a newer process runs under this id: stop
-    // For coordination::directory::DirectoryRequest: the table version held here long enough ago
-    // that every fresh member has it and its status has arrived.
+    bool synced = false;     // has the others' state; must not serve before
+    bool isolated = false;   // hears no other member: must not free memory or declare others dead
+    bool superseded = false; // a newer process has this VM id: must stop
+    // For coordination::directory::DirectoryRequest: a table version that has been held here so
+    // long that every up-to-date member has it and its status has arrived.
     std::uint64_t requiredTableVersion = 0;
 };
 
--- a/src/program/Metrics.cpp
+++ b/src/program/Metrics.cpp
@@ -9,7 +9,7 @@
 
 constexpr const char *prefix = "lavenderthread_";
 
-// `relay{route="a"}` with the label le="0.1" and the suffix _bucket.
+// Adds a suffix and a label to a name: relay{route="a"} becomes relay_bucket{le="0.1",route="a"}.
 std::string withLabel(const std::string &name, const std::string &suffix, const std::string &label)
 {
     const std::size_t brace = name.find('{');
@@ -65,11 +65,11 @@
 void Metrics::append(std::string &text, const std::string &name, const Histogram &histogram)
 {
     namespace accumulators = boost::accumulators;
-    std::uint64_t below = 0;
+    std::uint64_t cumulative = 0;
     for (std::size_t index = 0; index < bounds.size(); ++index) {
-        below += histogram.buckets[index];
+        cumulative += histogram.buckets[index];
         appendLine(text, withLabel(name, "_bucket", "le=\"" + numberText(bounds[index]) + "\""),
-                   std::to_string(below));
+                   std::to_string(cumulative));
     }
     const std::size_t count = accumulators::count(histogram.all);
     appendLine(text, withLabel(name, "_bucket", "le=\"+Inf\""), std::to_string(count));
--- a/src/program/Metrics.h
+++ b/src/program/Metrics.h
@@ -1,4 +1,4 @@
-// Counters, gauges and latency histograms of one process, as text for whoever collects them.
+// Counters, gauges and latency histograms of one process, exported as text.
 #pragma once
 
 #include <boost/accumulators/accumulators.hpp>
@@ -18,23 +18,23 @@
 
 namespace lavenderthread::program {
 
-// Thread safe. Names are metric names with their labels, for example `relay_total{status="200"}`.
+// Thread-safe. Names are metric names with their labels, for example `relay_total{status="200"}`.
 class Metrics
 {
 public:
     void count(const std::string &name, std::uint64_t by = 1);
-    void observe(const std::string &name, double seconds); // into a latency histogram
-    // Read when the text is made.
+    void observe(const std::string &name, double seconds); // adds to a latency histogram
+    // `value` is called each time text() is.
     void gauge(const std::string &name, std::function<double()> value);
 
-    // One line a counter, gauge and histogram bucket, in the customary text exposition.
+    // One line per counter, gauge and histogram bucket, in the Prometheus text format.
     std::string text() const;
 
 private:
-    // Upper bounds in seconds, each about twice the one before; the last bucket has none.
+    // Upper bounds in seconds, each about twice the previous one; one more bucket has no bound.
     static constexpr std::array<double, 15> bounds{
             0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.6, 1.0, 2.0, 4.0, 8.0, 16.0};
-    // Labels come from configurations and callers; beyond this many series the rest is one.
+    // Labels come from configurations and callers; series beyond this number share one series.
     static constexpr std::size_t mostSeries = 500;
 
     struct Histogram
--- a/src/program/Node.cpp
+++ b/src/program/Node.cpp
@@ -1,4 +1,4 @@
-// Start, service and graceful end of one process.
+// Startup, operation and graceful shutdown of one process.
 #include "program/Node.h"
 
 #include "coordination/directory/LeavingPlan.h"
@@ -39,8 +39,8 @@
 
 constexpr milliseconds expiryCheckInterval{200};
 constexpr milliseconds drainCheckInterval{20};
-// The farewell goes out and answers just written leave the sockets before the process does.
-constexpr milliseconds farewellTime{300};
+// Before the process exits: time to send the leave notice and the last answers from the sockets.
+constexpr milliseconds finalSendTime{300};
 
 void logCompletion(const CompletionOutcome &outcome)
 {
@@ -69,7 +69,7 @@
               {"total_us", std::int64_t(outcome.total.count())}});
 }
 
-std::string joined(const std::vector<state::Address> &addresses)
+std::string joinAddresses(const std::vector<state::Address> &addresses)
 {
     std::string text;
     for (const state::Address &address : addresses)
@@ -108,7 +108,7 @@
               {"whole", outcome.whole ? "yes" : "no"},
               {"attempts", outcome.attempts},
               {"address", outcome.address.toString()},
-              {"helpers", joined(outcome.helpers)},
+              {"helpers", joinAddresses(outcome.helpers)},
               {"resumed", outcome.resumed ? "yes" : "no"},
               {"first_us", std::int64_t(outcome.firstAnswer.count())},
               {"predicted_first_us", std::int64_t(outcome.predictedFirst.count())},
@@ -188,9 +188,9 @@
         this->cluster->start();
         if (this->client)
             this->client->start();
-        this->tellPhase();
-        asio::co_spawn(this->context, this->expireLoop(), asio::detached);
-        asio::co_spawn(this->context, this->leaveOnSignal(), asio::detached);
+        this->publishPhase();
+        asio::co_spawn(this->context, this->maintenanceLoop(), asio::detached);
+        asio::co_spawn(this->context, this->shutDownOnSignal(), asio::detached);
         asio::co_spawn(this->context, this->reloadOnSignal(), asio::detached);
         return state::outcome::success();
     }
@@ -212,14 +212,14 @@
         policy.prefixBlockTokens = protocol::prefixBlockTokens;
         if (!settings.relay.listen)
             return policy;
-        // Long prompts are split over all engines at once, so every entry watches all of them.
+        // Long prompts are split over all engines at once, so every entry must watch all of them.
         constexpr std::uint32_t allEngines = 10'000;
         policy.watchedEngines = allEngines;
-        // This entry's part of what all entries together may send again; see RouteRelay.cpp.
+        // This entry's share of the retries that all entries together may send; see RouteRelay.cpp.
         policy.retryShare = 0.12;
         policy.retryBurst = 4;
         policy.budgetRefused = true;
-        // Memory that a crashed entry leaves behind has to be free within four seconds.
+        // Memory that a crashed entry had reserved must be free within four seconds.
         policy.reservationTtl = std::chrono::milliseconds(3'500);
         return policy;
     }
@@ -235,7 +235,7 @@
     ControlService::Hooks controlHooks()
     {
         ControlService::Hooks hooks;
-        // With members named in the settings, operators decide who they are.
+        // If the settings name the members, operators decide which nodes are members.
         if (this->settings.controlMembers.empty())
             hooks.candidates = [this] { return this->cluster->controlCandidates(); };
         hooks.hasEnded = [this](const state::VmId &entry, std::uint64_t incarnationThere) {
@@ -341,7 +341,7 @@
         ControlClient::Hooks hooks;
         hooks.changed = [this](const state::control::ControlView &view, bool) {
             this->applyView(view);
-            this->tellPhase();
+            this->publishPhase();
         };
         hooks.members = [this] { return this->cluster->controlMembers(); };
         if (this->control) {
@@ -353,7 +353,7 @@
         return hooks;
     }
 
-    // On the client's strand.
+    // Called on the client's strand.
     void applyView(const state::control::ControlView &view)
     {
         if (this->front)
@@ -368,15 +368,15 @@
         });
         for (const auto &[endpoint, order] : drained)
             this->cluster->markDrain(endpoint, {0, order}, true);
-        for (const auto &[endpoint, order] : this->drainedBefore) {
+        for (const auto &[endpoint, order] : this->previouslyDrained) {
             if (!drained.contains(endpoint))
                 this->cluster->markDrain(endpoint, {0, view.version}, false);
         }
-        this->drainedBefore = std::move(drained);
+        this->previouslyDrained = std::move(drained);
     }
 
-    // Tells the others whether callers may be sent here.
-    void tellPhase()
+    // Tells the other members whether callers may be directed here.
+    void publishPhase()
     {
         MemberPhase phase = MemberPhase::Serving;
         if (this->entry->phase() != EntryPhase::Serving)
@@ -401,7 +401,7 @@
         co_return true;
     }
 
-    asio::awaitable<void> expireLoop()
+    asio::awaitable<void> maintenanceLoop()
     {
         while (true) {
             co_await transport::pause(expiryCheckInterval);
@@ -410,26 +410,26 @@
                 for (const state::EndpointId &id : this->registry->expire(monotonicNow()))
                     logEvent(LogLevel::Warning, "endpoint.expired", {{"endpoint", id.value()}});
             }
-            this->policy->refreshEndpoints(); // takes up again what was suspected for a while
+            this->policy->refreshEndpoints(); // uses engines again whose suspicion has expired
         }
     }
 
-    asio::awaitable<void> leaveOnSignal()
+    asio::awaitable<void> shutDownOnSignal()
     {
         co_await this->stopSignals.async_wait(asio::as_tuple(asio::use_awaitable));
-        // An operator who signals twice does not want to wait.
+        // A second signal stops the process at once: the operator does not want to wait.
         this->stopSignals.async_wait([this](auto, auto) { this->context.stop(); });
-        const LeavingPlan plan = this->leavingPlan();
-        const state::Instant limit = monotonicNow() + plan.ends;
+        const LeavingPlan schedule = this->shutdownSchedule();
+        const state::Instant limit = monotonicNow() + schedule.ends;
         logEvent(LogLevel::Info, "node.leaving",
                  {{"in_flight", std::uint64_t(this->inFlight())},
-                  {"takes_calls_ms", toMilliseconds(plan.takesCalls)},
-                  {"limit_ms", toMilliseconds(plan.ends)}});
+                  {"takes_calls_ms", toMilliseconds(schedule.takesCalls)},
+                  {"limit_ms", toMilliseconds(schedule.ends)}});
         this->entry->enter(EntryPhase::Leaving);
         if (this->front)
             this->front->beginLeaving();
-        this->tellPhase();
-        co_await transport::pause(milliseconds(toMilliseconds(plan.takesCalls)));
+        this->publishPhase();
+        co_await transport::pause(milliseconds(toMilliseconds(schedule.takesCalls)));
         this->entry->enter(EntryPhase::Refusing);
         if (this->front)
             this->front->refuseNew();
@@ -439,8 +439,8 @@
         if (this->front)
             this->front->stopAccepting();
         this->left = true;
-        this->tellPhase();
-        co_await transport::pause(farewellTime);
+        this->publishPhase();
+        co_await transport::pause(finalSendTime);
         logEvent(LogLevel::Info, "node.stopped", {{"in_flight", std::uint64_t(this->inFlight())}});
         if (this->client)
             this->client->stop();
@@ -490,7 +490,7 @@
         return this->entry->inFlight() + (this->front ? this->front->inFlight() : 0);
     }
 
-    LeavingPlan leavingPlan() const
+    LeavingPlan shutdownSchedule() const
     {
         if (this->settings.relay.listen)
             return LeavingPlan::within(this->settings.relay.termination);
@@ -498,7 +498,8 @@
         return {entry.shutdownGrace, entry.shutdownGrace + entry.shutdownLimit};
     }
 
-    // What may change while running is what a restart would read: the rest is only checked.
+    // Reads and checks the settings file again. No setting changes at run time: a restart applies
+    // them.
     asio::awaitable<void> reloadOnSignal()
     {
         while (true) {
@@ -516,8 +517,9 @@
     const std::string settingsFile;
     const Deployment &deployment;
     asio::io_context context;
-    // Made before any worker runs. Two workers that each made the first set of a context at once
-    // left its signals registered with neither: the node then ran on through every SIGTERM.
+    // Created before any worker thread runs. When two workers each created the first signal set of
+    // a context at the same time, the signals were registered with neither, and the node ignored
+    // every SIGTERM.
     asio::signal_set stopSignals{this->context, SIGTERM, SIGINT};
     asio::signal_set reloadSignals{this->context, SIGHUP};
     Metrics metrics;
@@ -525,14 +527,15 @@
     const std::uint64_t incarnation =
             static_cast<std::uint64_t>(wallNow().time_since_epoch().count());
     std::atomic<bool> left = false;
-    std::map<state::EndpointId, std::uint64_t> drainedBefore; // by order; on the client's strand
+    // Order ids by endpoint; accessed on the client's strand.
+    std::map<state::EndpointId, std::uint64_t> previouslyDrained;
     std::shared_ptr<Cluster> cluster;
-    std::shared_ptr<ControlService> control; // null unless this is a control member
-    std::shared_ptr<ControlClient> client;   // null without control members
+    std::shared_ptr<ControlService> control; // null unless this node is a control member
+    std::shared_ptr<ControlClient> client;   // null if there are no control members
     std::shared_ptr<DispatcherScheduler> policy;
     std::shared_ptr<Entry> entry;
-    std::shared_ptr<RelayFront> front; // null where the settings name no such listener
-    std::shared_ptr<transport::HttpServer> metricsServer; // the same
+    std::shared_ptr<RelayFront> front;                    // null if no relay listener is configured
+    std::shared_ptr<transport::HttpServer> metricsServer; // null if not configured
 };
 
 } // namespace
--- a/src/program/Node.h
+++ b/src/program/Node.h
@@ -1,5 +1,5 @@
-// One running process of the system: wires the entry to the parts that decide, runs the threads,
-// and leaves in order when told to.
+// One process of the system: connects the entry with scheduling, membership and control, runs the
+// threads, and shuts down gracefully on a signal.
 #pragma once
 
 #include "program/RelayCodec.h"
@@ -9,8 +9,9 @@
 
 namespace lavenderthread::program {
 
-// Runs until SIGTERM or SIGINT has been handled in full; a second signal ends it at once. SIGHUP
-// reads `settingsFile` again. Errors are those of starting: Unavailable for a busy address.
+// Runs until the graceful shutdown that SIGTERM or SIGINT starts is complete; a second signal ends
+// it at once. SIGHUP reads and checks `settingsFile` again. Returns only errors of the start, such
+// as Unavailable for an address in use.
 state::Result<void> runNode(const Settings &settings, const std::string &settingsFile,
                             const Deployment &deployment);
 
--- a/src/program/RunToEnd.h
+++ b/src/program/RunToEnd.h
@@ -1,4 +1,4 @@
-// Runs one coroutine to its end on the calling thread, for commands that do one thing and exit.
+// Runs one coroutine to completion on the calling thread, for commands that do one thing and exit.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
--- a/src/program/Scheduler.h
+++ b/src/program/Scheduler.h
@@ -1,5 +1,6 @@
-// Where requests run: what the relays ask of admission and routing. The relays don't know the
-// policy; they wait for a placement, report what happened, and ask again when an endpoint fails.
+// The interface between the relays and the admission and routing policy. A relay waits for a
+// placement, reports what happened, and asks for another placement when an endpoint fails. It does
+// not know the policy.
 #pragma once
 
 #include "coordination/routing/EndpointHealth.h"
@@ -27,82 +28,83 @@
     state::Instant arrival;
     state::Instant deadline;
     bool idempotent = true;
-    state::Duration firstTarget{0}; // see CompletionRequest
+    state::Duration firstTarget{0}; // as in CompletionRequest
     state::Duration pause{0};
-    std::uint32_t attempts = 0;
-    // Ends the attempt that runs now, on the scheduler's strand: it was given up, or its caller or
-    // an engine that it needs is gone. Empty: the engine is told to end the stream.
+    std::uint32_t attempts = 0; // the most engines to try; 0: as the policy sets it
+    // Called on the scheduler's strand to end the running attempt: it was abandoned, or its caller
+    // or an engine that it needs is gone. Empty: the engine is told to end the stream instead.
     std::function<void()> interrupt;
 };
 
 enum class AttemptFailure {
-    Unreachable, // no connection: the engine has not seen it, nor can it see others
-    NotRun,      // the engine refused it
-    PeerLost,    // the same, because another engine that it needed has failed
-    Lost,        // it may have run
+    Unreachable, // no connection: this request did not reach the engine, and others can't either
+    NotRun,      // the engine refused the request
+    PeerLost,    // refused, because another engine that this one needed has failed
+    Lost,        // the request may have run
 };
 
-// An engine that prefills a part of the prompt for the one that answers.
+// An engine that prefills a part of the prompt for the engine that answers.
 struct HelperTarget
 {
     state::Address address;
-    std::string lease; // of memory reserved there for the prompt; empty if none
+    std::string lease; // name of the memory reservation there for the prompt; empty if none
 
     auto operator<=>(const HelperTarget &) const = default;
 };
 
-// One piece of work for one engine: the whole request, or a slice of its prefill.
+// Work for one engine: the whole request, or one slice of its prefill.
 struct Placement
 {
     state::EndpointDescription endpoint;
-    unsigned priority = 5;     // towards the engine, 0 first
-    std::uint32_t attempt = 1; // of the policy; grows when an endpoint was lost to the request
-    // The part of the prompt to prefill, in tokens; to = 0 means all of it.
+    unsigned priority = 5;     // sent to the engine; 0 is the most urgent
+    std::uint32_t attempt = 1; // counted by the policy; grows when the request loses its endpoint
+    // Range of prompt tokens to prefill, `to` exclusive; to = 0 means the whole prompt.
     std::uint32_t from = 0;
     std::uint32_t to = 0;
-    bool final = true;                 // the answer is generated behind it; else it is a slice
-    std::vector<HelperTarget> helpers; // each prefills as much of the prompt as the endpoint
-    state::Duration predictedFirst{0}; // from placing to the first event; 0: not predicted
+    bool final = true;                 // the engine then generates the answer; false for a slice
+    std::vector<HelperTarget> helpers; // each prefills as many tokens as the endpoint does
+    state::Duration predictedFirst{0}; // from the placement to the first event; 0: not predicted
 
     auto operator<=>(const Placement &) const = default;
 };
 
-// The engine's id of the stream that carries a placement; the same for everybody who knows both.
+// The id of the engine's stream for a placement. It depends on the arguments only, so every process
+// that knows them computes the same id.
 std::string streamIdOf(const state::RequestId &id, const Placement &placement);
 
-// A placement, or the answer to the caller.
+// A placement, or the error that the caller is answered with.
 using PlacementResult = state::outcome::basic_result<Placement, protocol::Problem,
                                                      state::outcome::policy::all_narrow>;
 
-// All functions may be called from any thread. After place has succeeded, finished is called
-// exactly once, whatever happens; after place has refused, not at all.
+// All functions may be called from any thread. After place() has succeeded, the relay must call
+// finished() exactly once, whatever happens; after place() has refused, it must not call it.
 struct Scheduler
 {
-    // Waits in the queue for its turn; refuses at once what can't make its deadline.
+    // Waits in the queue for a placement; refuses at once a request that can't meet its deadline.
     std::function<boost::asio::awaitable<PlacementResult>(ScheduledRequest)> place;
-    // The endpoint of `failed` is lost to this request.
+    // The attempt on the endpoint of `failed` has failed; waits for another placement.
     std::function<boost::asio::awaitable<PlacementResult>(state::RequestId, Placement failed,
                                                           AttemptFailure failure)>
             placeAgain;
-    // The engine of that attempt has been silent for long. True: give the attempt up, and
-    // placeAgain() finds another engine. False: there is no other try; wait on.
+    // Asks whether to abandon an attempt whose engine has been silent for long. True: abandon it;
+    // placeAgain() finds another engine. False: no other attempt is possible; keep waiting.
     std::function<boost::asio::awaitable<bool>(state::RequestId, std::uint32_t attempt)> mayMove;
-    // A slice is prefilled; gives the next one, or the final piece.
+    // A slice has been prefilled; waits for the next slice or for the final placement.
     std::function<boost::asio::awaitable<PlacementResult>(state::RequestId, Placement done)>
             sliceDone;
-    // The caller has the tokens before `nextOffset`.
+    // The caller has received the tokens before `nextOffset`.
     std::function<void(const state::RequestId &, std::uint32_t attempt, std::uint64_t nextOffset)>
             progressed;
-    // `whole`: the engine has ended the stream itself; else whatever still runs is cancelled.
+    // `whole`: the engine has ended the stream itself. Otherwise whatever still runs is cancelled.
     std::function<void(const state::RequestId &, std::uint32_t attempt, bool whole)> finished;
-    // The relay has nobody to answer any more; a place() or placeAgain() that waits ends at once.
+    // The caller has disconnected; a place() or placeAgain() that is waiting ends at once.
     std::function<void(const state::RequestId &)> cancel;
-    // How an attempt ended, as far as it tells of the endpoint's health.
+    // Reports what the end of an attempt says about the endpoint's health.
     std::function<void(const state::EndpointDescription &, coordination::routing::AttemptHealth)>
             noteHealth;
-    // An engine said that this peer of it failed, which it needed for the prompt.
+    // Reports that an engine named this peer, which it needed for the prompt, as failed.
     std::function<void(const state::Address &)> blame;
-    // Whether the endpoint is still known alive under that incarnation.
+    // Whether the endpoint is still known to be alive under that incarnation.
     std::function<bool(const state::EndpointDescription &)> isAlive;
 };
 
--- a/src/program/SchedulerTranslation.cpp
+++ b/src/program/SchedulerTranslation.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr double usPerSecond = 1e6;
-constexpr double milliPerOne = 1e3;
+constexpr double thousandthsPerUnit = 1e3;
 
 } // namespace
 
@@ -53,7 +53,7 @@
               {"engines", std::uint64_t(action.look.engines)},
               {"brief_engines", std::uint64_t(action.look.briefEngines)},
               {"briefs", std::uint64_t(action.look.briefs)},
-              {"long_demand_milli", std::int64_t(action.look.longDemand * milliPerOne)}});
+              {"long_demand_milli", std::int64_t(action.look.longDemand * thousandthsPerUnit)}});
 }
 
 void logRefusal(const admission::Refuse &action, const Problem &problem)
@@ -69,7 +69,7 @@
               {"engines", std::uint64_t(action.look.engines)},
               {"brief_engines", std::uint64_t(action.look.briefEngines)},
               {"briefs", std::uint64_t(action.look.briefs)},
-              {"long_demand_milli", std::int64_t(action.look.longDemand * milliPerOne)}});
+              {"long_demand_milli", std::int64_t(action.look.longDemand * thousandthsPerUnit)}});
 }
 
 admission::CompletionRequest toAdmission(const ScheduledRequest &request)
--- a/src/program/SchedulerTranslation.h
+++ b/src/program/SchedulerTranslation.h
@@ -1,4 +1,4 @@
-// Between the relays' words and the dispatcher's, and what the log says of the dispatcher's
+// Converts between the types of the relays and of the dispatcher, and logs the dispatcher's
 // decisions.
 #pragma once
 
@@ -10,10 +10,11 @@
 
 coordination::admission::CompletionRequest toAdmission(const ScheduledRequest &request);
 
-// The answer to a caller that was refused.
+// The error that a refused caller is answered with.
 protocol::Problem problemOf(const coordination::admission::Refuse &refusal);
 
-// One line a decision, with what it saw of the fleet: request.placed and request.refused.
+// Log one line per decision, with the state of the fleet that it was based on: the events
+// request.placed and request.refused.
 void logPlacement(const coordination::admission::Dispatch &action);
 void logRefusal(const coordination::admission::Refuse &action, const protocol::Problem &problem);
 
--- a/src/program/Version.cpp
+++ b/src/program/Version.cpp
@@ -1,4 +1,4 @@
-// See Version.h; raised by hand with each release.
+// The version is raised by hand with each release.
 #include "program/Version.h"
 
 namespace lavenderthread::program {
--- a/tests/program/MembershipServiceTest.cpp
+++ b/tests/program/MembershipServiceTest.cpp
@@ -1,4 +1,4 @@
-// Three services over loopback, with calls from several threads.
+// Runs three membership services over loopback, with calls from several threads.
 #include "program/MembershipService.h"
 
 #include "program/Clock.h"
@@ -26,16 +26,16 @@
 
 const state::EndpointId engine("engine-1");
 
-struct Cluster
+struct TestCluster
 {
-    Cluster()
+    TestCluster()
         : work(boost::asio::make_work_guard(this->context))
     {
         for (int thread = 0; thread < 3; ++thread)
             this->threads.emplace_back([this] { this->context.run(); });
     }
 
-    ~Cluster()
+    ~TestCluster()
     {
         for (const auto &service : this->services)
             service->stop();
@@ -44,8 +44,8 @@
             thread.join();
     }
 
-    Cluster(const Cluster &) = delete;
-    Cluster &operator=(const Cluster &) = delete;
+    TestCluster(const TestCluster &) = delete;
+    TestCluster &operator=(const TestCluster &) = delete;
 
     std::size_t add(const std::string &id)
     {
@@ -73,7 +73,8 @@
         return this->services.size() - 1;
     }
 
-    // Waits far longer than it should take; the verdict does not hang on the machine's speed.
+    // The limit is far longer than needed, so that the result does not depend on the machine's
+    // speed.
     template <typename Condition>
     static bool eventually(Condition condition)
     {
@@ -118,14 +119,14 @@
     std::atomic<int> loadsArrived = 0;
 };
 
-// Sends bytes to a service from a socket of its own.
-void sendRaw(Cluster &cluster, const state::Address &to, const std::string &bytes)
+// Sends a datagram to a service from a separate socket.
+void sendRaw(TestCluster &cluster, const state::Address &to, const std::string &bytes)
 {
     boost::asio::ip::udp::socket socket(cluster.context, {boost::asio::ip::udp::v4(), 0});
     socket.send_to(boost::asio::buffer(bytes), {boost::asio::ip::make_address(to.ip), to.port});
 }
 
-std::string claimOfDeath(const protocol::SealKeys &keys, const std::string &cluster)
+std::string sealedDeadMemberUpdate(const protocol::SealKeys &keys, const std::string &cluster)
 {
     coordination::membership::GossipMessage message;
     message.kind = coordination::membership::GossipKind::News;
@@ -142,50 +143,52 @@
 class MembershipServiceTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(MembershipServiceTest);
-    CPPUNIT_TEST(joinAnnounceDrainAndDie);
+    CPPUNIT_TEST(joinAnnounceDrainAndFail);
     CPPUNIT_TEST(badSettingsAreRefused);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void joinAnnounceDrainAndDie()
+    void joinAnnounceDrainAndFail()
     {
-        // Three entries join by one seed. What one is told, all come to know; what a stranger
-        // sends, nobody takes; and a killed entry leaves every view.
-        Cluster cluster;
+        // Three entries join through one seed. What one of them is told spreads to all, datagrams
+        // with a wrong key or cluster are refused or ignored, and every view notices that an entry
+        // has stopped.
+        TestCluster cluster;
         for (const char *id : {"a", "b", "c"})
             cluster.add(id);
         for (std::size_t service = 0; service < 3; ++service) {
-            CPPUNIT_ASSERT(
-                    Cluster::eventually([&] { return cluster.services[service]->view()->synced; }));
+            CPPUNIT_ASSERT(TestCluster::eventually(
+                    [&] { return cluster.services[service]->view()->synced; }));
             cluster.services[service]->setSelf(SelfState{MemberPhase::Serving, true, 7, 1});
         }
         for (std::size_t service = 0; service < 3; ++service)
-            CPPUNIT_ASSERT(Cluster::eventually([&] { return cluster.aliveSeenBy(service) == 3; }));
+            CPPUNIT_ASSERT(
+                    TestCluster::eventually([&] { return cluster.aliveSeenBy(service) == 3; }));
 
         cluster.announceEngine(1);
         for (std::size_t service = 0; service < 3; ++service)
-            CPPUNIT_ASSERT(Cluster::eventually([&] {
+            CPPUNIT_ASSERT(TestCluster::eventually([&] {
                 const auto view = cluster.services[service]->view();
                 return view->endpoints->enginesOfModel.contains(state::ModelName("m1"))
                        && view->endpoints->find(engine)->owner
                                   == cluster.services[0]->view()->endpoints->find(engine)->owner;
             }));
-        CPPUNIT_ASSERT(Cluster::eventually([&] { return cluster.announced.load(); }));
-        CPPUNIT_ASSERT(Cluster::eventually([&] {
+        CPPUNIT_ASSERT(TestCluster::eventually([&] { return cluster.announced.load(); }));
+        CPPUNIT_ASSERT(TestCluster::eventually([&] {
             cluster.services[1]->reportLoad({engine, 1, 1, 2, 3, 4, 5});
             return cluster.loadsArrived > 1;
         }));
 
         const state::Address target = cluster.services[0]->address();
-        sendRaw(cluster, target, claimOfDeath({{"stolen"}}, "test"));
+        sendRaw(cluster, target, sealedDeadMemberUpdate({{"stolen"}}, "test"));
         sendRaw(cluster, target, "noise");
         sendRaw(cluster, target, std::string(5'000, 'x'));
-        CPPUNIT_ASSERT(Cluster::eventually([&] { return cluster.refused == 3; }));
-        sendRaw(cluster, target, claimOfDeath({{"key"}}, "other"));
+        CPPUNIT_ASSERT(TestCluster::eventually([&] { return cluster.refused == 3; }));
+        sendRaw(cluster, target, sealedDeadMemberUpdate({{"key"}}, "other"));
 
         cluster.services[2]->markDrain(engine, DrainMark{{1, 4}, true});
         for (std::size_t service = 0; service < 3; ++service)
-            CPPUNIT_ASSERT(Cluster::eventually([&] {
+            CPPUNIT_ASSERT(TestCluster::eventually([&] {
                 return cluster.services[service]->view()->endpoints->enginesOfModel.empty();
             }));
         const auto view = cluster.services[0]->view();
@@ -194,8 +197,9 @@
 
         cluster.services[2]->stop();
         for (std::size_t service = 0; service < 2; ++service)
-            CPPUNIT_ASSERT(Cluster::eventually([&] { return cluster.aliveSeenBy(service) == 2; }));
-        CPPUNIT_ASSERT(Cluster::eventually([&] {
+            CPPUNIT_ASSERT(
+                    TestCluster::eventually([&] { return cluster.aliveSeenBy(service) == 2; }));
+        CPPUNIT_ASSERT(TestCluster::eventually([&] {
             return cluster.services[0]->view()->endpoints->find(engine)->owner != state::VmId("c");
         }));
     }
@@ -209,7 +213,7 @@
         settings.keys = {{"key"}};
         CPPUNIT_ASSERT_EQUAL(std::string("membership.create"),
                              MembershipService::create(settings, context, {}).error().step);
-        settings.listen = {"203.0.113.1", 0}; // not an address of this machine
+        settings.listen = {"203.0.113.1", 0}; // not a local address
         const auto refused = MembershipService::create(settings, context, {});
         CPPUNIT_ASSERT_EQUAL(std::string("gossip.bind"), refused.error().step);
         CPPUNIT_ASSERT_EQUAL(std::string("203.0.113.1:0"), refused.error().peer);
