--- a/src/program/CallCommand.cpp
+++ b/src/program/CallCommand.cpp
@@ -1,4 +1,4 @@
-// call and status: a caller and an operator at the command line.
+// The subcommands call, for callers, and status, for operators.
 #include "program/Caller.h"
 #include "program/Commands.h"
 #include "program/RunToEnd.h"
@@ -32,8 +32,8 @@
     return entries;
 }
 
-// Text of that many tokens; the same for the same number.
-std::string madeUpPrompt(std::uint64_t tokens)
+// Generates a text of `tokens` tokens, the same text for the same number.
+std::string generatedPrompt(std::uint64_t tokens)
 {
     std::string text;
     text.reserve(tokens * bytesPerToken);
@@ -49,7 +49,7 @@
     if (!options.prompt.empty())
         return options.prompt;
     if (options.promptFile.empty())
-        return madeUpPrompt(options.promptTokens);
+        return generatedPrompt(options.promptTokens);
     std::ifstream input(options.promptFile, std::ios::binary);
     if (!input)
         return state::makeError(state::ErrorCode::NotFound, "call.prompt", "can't open the file",
--- a/src/program/CommandLine.cpp
+++ b/src/program/CommandLine.cpp
@@ -1,4 +1,4 @@
-// Command line of the one binary.
+// Defines the command line of the binary.
 #include "program/CommandLine.h"
 
 #include "program/Commands.h"
@@ -17,7 +17,7 @@
         "Exit codes: 0 ok, 1 failed, 2 wrong command line, 3 wrong settings, 4 address not to be "
         "bound,\n  5 the request did not run, 6 not known whether it ran, 7 no entry reachable.";
 
-// Each adds one subcommand; `code` is set when it has run.
+// Each function adds one subcommand, which sets `code` to its exit code when it has run.
 
 void addServe(CLI::App &app, const Deployment &deployment, int &code)
 {
--- a/src/program/Commands.cpp
+++ b/src/program/Commands.cpp
@@ -1,4 +1,4 @@
-// serve and check-settings.
+// The subcommands serve and check-settings.
 #include "program/Commands.h"
 
 #include "program/Log.h"
--- a/src/program/Commands.h
+++ b/src/program/Commands.h
@@ -1,4 +1,4 @@
-// The subcommands behind main: each takes its parsed options and gives the process's exit code.
+// The subcommands: each takes its parsed options and returns the exit code of the process.
 #pragma once
 
 #include "program/RelayCodec.h"
@@ -10,12 +10,12 @@
 
 // Exit codes, the same for every subcommand; `--help` lists them.
 constexpr int exitOk = 0;
-constexpr int exitFailed = 1;      // it was tried and failed
-constexpr int exitUsage = 2;       // the command line is wrong
-constexpr int exitSettings = 3;    // the settings file is wrong
-constexpr int exitAddress = 4;     // an address can't be bound
+constexpr int exitFailed = 1;      // the operation failed
+constexpr int exitUsage = 2;       // invalid command line
+constexpr int exitSettings = 3;    // invalid settings file
+constexpr int exitAddress = 4;     // an address could not be bound
 constexpr int exitNotRun = 5;      // the request certainly did not run
-constexpr int exitUnknown = 6;     // whether the request ran is not known
+constexpr int exitUnknown = 6;     // it is unknown whether the request ran
 constexpr int exitUnreachable = 7; // no entry could be reached
 
 struct CallOptions
@@ -26,7 +26,7 @@
     std::string model;
     std::string prompt;
     std::string promptFile;
-    std::uint64_t promptTokens = 0; // made up, when neither prompt nor file is given
+    std::uint64_t promptTokens = 0; // length of a generated prompt, used without prompt and file
     std::uint32_t maxTokens = 16;
     std::uint32_t deadlineMs = 60'000;
     std::string workClass;
@@ -38,12 +38,12 @@
     bool json = false;
 };
 
-// Options that all operators' commands share.
+// Options shared by all operators' commands.
 struct OperatorOptions
 {
     std::vector<std::string> entries;
     std::string key;
-    std::string request; // the same for a resend; made up if empty
+    std::string request; // request id, the same for a resend; generated if empty
 };
 
 struct OrderOptions
--- a/src/program/ControlClient.cpp
+++ b/src/program/ControlClient.cpp
@@ -1,4 +1,4 @@
-// Calls go to the member that is thought to lead; its refusal names the leader.
+// Sends each call to the presumed leader; another member names the leader in its reply.
 #include "program/ControlClient.h"
 
 #include "program/Clock.h"
@@ -28,13 +28,13 @@
 constexpr milliseconds callTimeout{1'500};
 constexpr milliseconds connectTimeout{300};
 constexpr milliseconds pauseBetweenTries{50};
-constexpr milliseconds feedWait{1'000}; // a poll for pages is held this long at most
-constexpr state::Duration feedInterval = milliseconds(1'000); // between two confirmations
-// Pages from the member asked for them come within a heartbeat of the leader's word; after this the
-// leader is asked for them itself.
+constexpr milliseconds feedWait{1'000}; // longest time a member holds a poll for pages
+constexpr state::Duration feedInterval = milliseconds(1'000); // between confirmations
+// The member polled for pages has them within a heartbeat after the leader reports a version; after
+// this time the pages are requested from the leader itself.
 constexpr state::Duration pagesGrace = milliseconds(250);
 constexpr milliseconds longestFeedPause{100};
-constexpr milliseconds feedRetry{60}; // while nobody confirms anything
+constexpr milliseconds feedRetry{60}; // while no member confirms the view
 constexpr milliseconds releaseTime{5'000};
 constexpr unsigned statusOk = 200;
 
@@ -87,7 +87,7 @@
     return feed;
 }
 
-// Whether a claim command took effect for its holder.
+// Returns whether a claim command was committed and granted to its holder.
 bool granted(const state::Result<ControlClient::Committed> &committed)
 {
     if (!committed)
@@ -154,7 +154,7 @@
     co_return protocol::unsealControlReply(this->settings.keys, answer.value().body);
 }
 
-// The leader as last heard of, unless it is the one that has just failed; else all in turn.
+// Returns the last known leader unless it has just failed; otherwise the members in rotation.
 std::optional<ControlMemberAddress>
 ControlClient::nextMember(const std::optional<state::Address> &failed)
 {
@@ -256,7 +256,8 @@
     }
 }
 
-// The leader alone can confirm; every reply names it. True if the view has changed.
+// Polls the leader, which alone can confirm the view; every reply names the leader. Returns true if
+// the view has changed.
 asio::awaitable<bool> ControlClient::pollFeed(coordination::orders::FeedRequest due)
 {
     const std::optional<ControlMemberAddress> member = this->nextMember(this->feedFailed);
@@ -267,7 +268,7 @@
     }
     const bool pages = std::exchange(this->behind, false);
     if (pages)
-        ++this->pagesRotation; // that member lags
+        ++this->pagesRotation; // the current member lags
     const state::Instant askedAt = monotonicNow();
     const auto reply = co_await this->askFeed(*member, pages);
     const auto *feedReply = reply ? std::get_if<protocol::FeedReply>(&reply.value().body) : nullptr;
@@ -294,21 +295,20 @@
     co_return changed;
 }
 
-// A leader that sent each change to every entry itself would spend its share of a core on that and
-// lose its term while changes come fast; so each entry takes them from one member of its own
-// choice.
+// Fetches pages from one member that this entry selects. A leader that sent every change to all
+// entries itself would use up its share of a core and lose leadership under frequent changes.
 asio::awaitable<void> ControlClient::pagesLoop()
 {
     while (!this->stopped) {
         const bool changed = co_await this->fetchPages();
         if (changed && !this->fresh)
-            this->feed.retryAt(monotonicNow()); // waits for nothing but the leader's word
+            this->feed.retryAt(monotonicNow()); // only the leader's confirmation is missing
         this->afterAnswer(changed);
         co_await transport::pause(changed ? milliseconds(1) : feedRetry);
     }
 }
 
-// True if the view has changed.
+// Returns true if the view has changed.
 asio::awaitable<bool> ControlClient::fetchPages()
 {
     const std::optional<ControlMemberAddress> member = this->pagesMember();
@@ -318,7 +318,7 @@
     const auto reply = co_await this->askFeed(*member, true);
     const auto *feedReply = reply ? std::get_if<protocol::FeedReply>(&reply.value().body) : nullptr;
     if (feedReply == nullptr) {
-        ++this->pagesRotation; // pollFeed() tells of a control side that is lost
+        ++this->pagesRotation; // pollFeed() logs the loss of the control members
         co_return false;
     }
     const std::optional<state::Instant> behindSince = this->feed.behindSince();
@@ -329,7 +329,8 @@
     co_return changed;
 }
 
-// Pages of a reply that was overtaken need a configuration that is no longer held; nothing is lost.
+// Pages of an outdated reply are based on a configuration that this entry no longer holds. They are
+// dropped without loss.
 std::vector<control::FeedPage> ControlClient::decodePages(const protocol::FeedReply &reply,
                                                           const ControlMemberAddress &member)
 {
@@ -366,18 +367,19 @@
 asio::awaitable<state::Result<protocol::ControlReply>>
 ControlClient::askFeed(ControlMemberAddress member, bool pages)
 {
-    protocol::FeedCall asking;
-    asking.entry = this->settings.vm;
-    asking.version = this->feed.view().version;
+    protocol::FeedCall feedCall;
+    feedCall.entry = this->settings.vm;
+    feedCall.version = this->feed.view().version;
     if (!this->wantsWholeConfiguration)
-        asking.configuration = this->feed.view().configuration.version;
-    asking.waitMs = static_cast<std::uint32_t>(feedWait.count());
-    asking.pages = pages;
-    protocol::ControlCall request = asking;
+        feedCall.configuration = this->feed.view().configuration.version;
+    feedCall.waitMs = static_cast<std::uint32_t>(feedWait.count());
+    feedCall.pages = pages;
+    protocol::ControlCall request = feedCall;
     co_return co_await this->call(std::move(member), std::move(request));
 }
 
-// Its own member, else one that other entries choose no more often than any other.
+// Returns the member in this process, or one chosen by a hash of the VM id, which spreads the
+// entries evenly over the members.
 std::optional<ControlMemberAddress> ControlClient::pagesMember() const
 {
     const std::vector<ControlMemberAddress> members = this->hooks.members();
@@ -392,7 +394,7 @@
     return members[(first + this->pagesRotation) % members.size()];
 }
 
-// One line when the control side is lost or regained, not one a try.
+// Logs once when contact with the control members is lost or regained, not once for each attempt.
 void ControlClient::noteFeed(const state::Address &member, bool confirmed)
 {
     if (confirmed == this->feedConfirmed)
--- a/src/program/ControlClient.h
+++ b/src/program/ControlClient.h
@@ -1,4 +1,4 @@
-// The entry's access to the control members: proposes commands, keeps the newest view of table,
+// An entry's client of the control members: proposes commands, keeps the newest view of table,
 // catalog and configuration, and knows whether that view is fresh.
 #pragma once
 
@@ -21,11 +21,11 @@
 
 namespace lavenderthread::program {
 
-// Where one control member is reached.
+// The addresses of one control member.
 struct ControlMemberAddress
 {
-    state::Address consensus; // by which members name their leader
-    state::Address entry;     // where its process takes control calls
+    state::Address consensus; // also identifies the leader in replies
+    state::Address entry;     // where its process accepts control calls
 
     auto operator<=>(const ControlMemberAddress &) const = default;
 };
@@ -35,14 +35,14 @@
 public:
     struct Hooks
     {
-        // A newer view is in force here, or freshness came or went. On the client's strand.
+        // Called on the client's strand when a newer view takes effect or freshness changes.
         std::function<void(const state::control::ControlView &view, bool fresh)> changed;
-        // The control members as far as known now; asked before each call.
+        // Returns the control members known at present; called before each call.
         std::function<std::vector<ControlMemberAddress>()> members;
-        // Answers calls to the member of this very process without the network. May be empty.
+        // Handles calls to the member in this process without using the network. May be empty.
         std::function<boost::asio::awaitable<protocol::ControlReply>(protocol::ControlCall)>
                 ownMember;
-        state::Address ownAddress; // consensus address of that member
+        state::Address ownAddress; // consensus address of the member in this process
     };
 
     struct Committed
@@ -57,24 +57,24 @@
     void start();
     void stop() { this->stopped = true; }
 
-    // Sent again, unchanged, until a leader has answered; commands are made to bear that. Errors:
-    // Timeout: not known whether it was committed.
+    // Resends the command unchanged until a leader answers; commands are idempotent. Error:
+    // Timeout: it is unknown whether the command was committed.
     boost::asio::awaitable<state::Result<Committed>> propose(state::control::Command command,
                                                              state::Instant deadline);
     // Error: Timeout if no leader answers.
     boost::asio::awaitable<state::Result<protocol::EnforcementReply>>
     enforcement(std::uint64_t version, state::Instant deadline);
-    // The newest configuration that anybody was told is accepted, as a quorum confirms. Error:
-    // Timeout if nobody can be sure.
+    // The newest configuration whose acceptance was reported to anybody, confirmed by a quorum.
+    // Error: Timeout if no member can confirm it.
     boost::asio::awaitable<state::Result<state::control::ConfigurationDocument>>
     configuration(state::Instant deadline);
 
-    // False: the view is not confirmed fresh; nothing new may be admitted under it.
+    // False if the view is not confirmed fresh: no new request may be admitted under it.
     bool admits() const { return this->fresh; }
     state::SnapshotView<state::control::ControlView> view() const { return this->published.read(); }
     coordination::orders::ViewStanding standing() const;
 
-    // Claims that a quorum holds.
+    // A gate whose claims are replicated to a quorum.
     ClaimGate claimGate(std::uint64_t entryIncarnation);
 
 private:
@@ -89,7 +89,7 @@
     std::optional<ControlMemberAddress> pagesMember() const;
     boost::asio::awaitable<state::Result<protocol::ControlReply>>
     askFeed(ControlMemberAddress member, bool pages);
-    // Asks the leader, or whoever may know it, until `accepts` is content. Error: Timeout.
+    // Calls the leader, or members that may know it, until `accepts` is true. Error: Timeout.
     boost::asio::awaitable<state::Result<protocol::ControlReply>>
     askLeader(protocol::ControlCall request, Accepts accepts, const char *step,
               state::Instant deadline);
@@ -106,14 +106,14 @@
     const Settings &settings;
     boost::asio::strand<boost::asio::io_context::executor_type> strand;
     Hooks hooks;
-    // On the strand.
+    // Used on the strand only.
     coordination::orders::FeedReceiver feed;
-    std::optional<state::Address> feedFailed; // member whose last answer confirmed nothing
+    std::optional<state::Address> feedFailed; // member whose last reply was unconfirmed
     bool feedConfirmed = false;
-    bool behind = false; // the leader told of a version that the pages have not brought yet
+    bool behind = false; // the leader reported a version whose pages have not arrived yet
     bool wantsWholeConfiguration = false; // the last patch could not be applied
-    std::size_t pagesRotation = 0;        // moves on from a member that does not answer or lags
-    state::Snapshot<std::optional<state::Address>> leader; // consensus address; a guess
+    std::size_t pagesRotation = 0;        // incremented if a member does not answer or lags
+    state::Snapshot<std::optional<state::Address>> leader; // consensus address; a hint
     std::atomic<std::size_t> rotation = 0;
     std::atomic<bool> fresh = false;
     std::atomic<bool> stopped = false;
--- a/src/program/ControlMember.cpp
+++ b/src/program/ControlMember.cpp
@@ -1,4 +1,4 @@
-// Steps the machine and carries out its actions in the order that Actions asks for.
+// Steps the consensus state machine and performs its actions in the order that Actions requires.
 #include "program/ControlMember.h"
 
 #include "program/Clock.h"
@@ -27,7 +27,7 @@
 
 namespace {
 
-constexpr std::size_t maximumLearned = 128;
+constexpr std::size_t maximumLearnedAddresses = 128;
 
 std::int64_t microsecondsOf(state::Instant time)
 {
@@ -152,7 +152,7 @@
     asio::post(this->strand, [self = this->shared_from_this(), known = frame.value()] {
         const Message &message = known.message;
         self->learned[message.from] = known.replyTo;
-        if (self->learned.size() > maximumLearned)
+        if (self->learned.size() > maximumLearnedAddresses)
             self->learned.erase(self->learned.begin());
         self->step(coordination::consensus::Received{message});
     });
@@ -179,7 +179,8 @@
     return now >= this->orderFrom && now < this->orderUntil;
 }
 
-// Also from a hook on the strand itself: the step under way is finished first.
+// Defers the event, so that a hook running on the strand may call this: the current step finishes
+// first.
 void ControlMember::post(Event event)
 {
     asio::post(this->strand,
@@ -202,7 +203,7 @@
                              std::move(actions.entries)});
     this->sendAll(actions.messages);
     this->applyAll(actions);
-    // A deposed leader must not look entitled to orders while its callers hear of it.
+    // Revokes the right to send orders before the callers of a deposed leader are answered.
     if (actions.roleChange)
         this->changeRole(*actions.roleChange);
     this->answerAll(actions);
@@ -245,7 +246,7 @@
         if (entry.kind != LogEntryKind::Command)
             continue;
         state::control::Answer answer = this->hooks.apply(entry);
-        // Every command of an own term was proposed here, so each of these is asked for once.
+        // Every command of this leader's term was proposed here, so each answer is collected once.
         if (leads && entry.position.term == this->machine.currentTerm())
             this->applied.insert_or_assign(entry.position.index, std::move(answer));
     }
--- a/src/program/ControlMember.h
+++ b/src/program/ControlMember.h
@@ -1,5 +1,6 @@
-// Drives the consensus machine of one control member: its timer, its messages, its writes and the
-// state that it applies to. All steps run on one strand; storage, state and network are hooks.
+// Drives the consensus state machine of one control member: its timer, messages and writes, and the
+// application of committed entries. All steps run on one strand; storage, state and network are
+// hooks.
 #pragma once
 
 #include "coordination/consensus/Consensus.h"
@@ -25,26 +26,26 @@
 
 namespace lavenderthread::program {
 
-// Written in this order: installed, hardState, entries; then synced.
+// One durable write, in the order installed, hardState, entries, followed by a sync.
 struct PersistBatch
 {
     std::uint64_t sequence = 0;
     std::optional<state::log::HardState> hardState;
     coordination::consensus::SnapshotPointer installed; // replaces the whole stored log
-    std::vector<state::log::LogEntry> entries;          // replace all from the first one's index
+    std::vector<state::log::LogEntry> entries; // replace the stored ones from the first index
 };
 
-// Called on the member's strand, in the order of the log. None may wait.
+// Called on the member's strand in log order. They must not block.
 struct ControlMemberHooks
 {
     // Answered by persisted() or persistFailed().
     std::function<void(PersistBatch)> persist;
-    // An own snapshot; answered by snapshotSaved() once it is durable.
+    // Saves a snapshot that this member took; answered by snapshotSaved() once it is durable.
     std::function<void(coordination::consensus::SnapshotPointer)> saveSnapshot;
 
     std::function<state::control::Answer(const state::log::LogEntry &)> apply; // a Command
     std::function<void(const state::log::LogSnapshot &)> restore;
-    // Takes the state as it is now and calls `done`, from any thread, with its encoding.
+    // Captures the current state and calls `done`, from any thread, with its encoding.
     std::function<void(std::function<void(std::string bytes)> done)> captureState;
 
     std::function<void(const state::Address &peer, std::string bytes)> send;
@@ -55,22 +56,22 @@
 
 struct ControlMemberSettings
 {
-    state::VmId id;         // the identity that the data folder holds
-    state::Address address; // where other members reach this one
+    state::VmId id;         // the identity stored in the data folder
+    state::Address address; // where other members connect to this one
     coordination::consensus::Settings consensus;
-    std::uint64_t seed = 0; // of the election timeouts; another one in every process
+    std::uint64_t seed = 0; // for random election timeouts; different in every process
 };
 
 struct ProposalResult
 {
     coordination::consensus::ProposalOutcome outcome{};
-    state::log::LogPosition position; // of Committed; the fencing number of an order
-    state::control::Answer answer;    // of Committed
-    std::optional<coordination::consensus::Member> leader; // where to go instead, if known
-    std::optional<state::Error> error;                     // of Refused
+    state::log::LogPosition position; // if Committed; the fencing token of an order
+    state::control::Answer answer;    // if Committed
+    std::optional<coordination::consensus::Member> leader; // where to retry, if known
+    std::optional<state::Error> error;                     // if Refused
 };
 
-// What any thread may see of the member.
+// A snapshot of the member's status, readable from any thread.
 struct ControlMemberStatus
 {
     coordination::consensus::Role role = coordination::consensus::Role::Follower;
@@ -79,7 +80,7 @@
     std::uint64_t applied = 0;
     std::optional<coordination::consensus::Member> leader;
     coordination::consensus::MemberSet members;
-    std::set<state::VmId> caughtUp; // of a leader: learners that may be promoted now
+    std::set<state::VmId> caughtUp; // on a leader: learners that may be promoted
 
     auto operator<=>(const ControlMemberStatus &) const = default;
 };
@@ -90,27 +91,29 @@
     using ProposalDone = std::function<void(ProposalResult)>;
     using ReadDone = std::function<void(const coordination::consensus::ReadAnswer &)>;
 
-    // `stored` is what the data folder held; the state was restored from its snapshot already.
+    // `stored` was read from the data folder; the caller has restored the state from its snapshot.
     static state::Result<std::shared_ptr<ControlMember>>
     create(boost::asio::io_context &io, const ControlMemberSettings &settings,
            const coordination::consensus::Stored &stored, ControlMemberHooks hooks);
 
     void start();
-    // Waiting callers are answered LeadershipLost; no hook is called once this has run.
+    // Answers waiting proposals with LeadershipLost and pending reads as unconfirmed. No hook is
+    // called once this has run.
     void stop();
 
-    // From any thread; the callbacks run on the strand, where the applied state stands still.
+    // From any thread; the callbacks run on the strand, where the applied state does not change.
     void propose(std::string payload, ProposalDone done);
     void proposeChange(const coordination::consensus::MemberChange &change, ProposalDone done);
     void read(coordination::consensus::ReadKind kind, ReadDone done);
 
-    // From any thread: what network and storage report.
+    // Events from network and storage; may be called from any thread.
     void receive(const std::string &bytes);
     void persisted(std::uint64_t sequence);
     void persistFailed(const state::Error &error);
     void snapshotSaved(const coordination::consensus::SnapshotPointer &snapshot);
 
-    // From any thread. True while this member may send orders to endpoints; asked before each one.
+    // True while this member may send orders to endpoints; must be checked before each order. May
+    // be called from any thread.
     bool mayOrder() const;
     state::SnapshotView<ControlMemberStatus> status() const { return this->published.read(); }
 
@@ -143,12 +146,12 @@
     ControlMemberHooks hooks;
 
     std::mutex gatheredMutex;
-    std::vector<WaitingProposal> gathered; // become one batch, written and sent at once
+    std::vector<WaitingProposal> gathered; // proposed as one batch, with one write and one send
 
     // Read by any thread.
     state::Snapshot<ControlMemberStatus> published;
     std::atomic<std::int64_t> orderFrom = 0;  // microseconds of the monotonic clock
-    std::atomic<std::int64_t> orderUntil = 0; // end of the lease; 0 without
+    std::atomic<std::int64_t> orderUntil = 0; // end of the lease; 0 without a lease
 
     // The rest is used on the strand only.
     Machine machine;
@@ -158,9 +161,10 @@
     std::uint64_t nextId = 1;
     std::map<std::uint64_t, ProposalDone> proposals;
     std::map<std::uint64_t, ReadDone> reads;
-    // Answers of commands applied while leading and not yet handed out, by log index.
+    // Answers to commands applied as leader and not yet returned to their callers, by log index.
     std::map<std::uint64_t, state::control::Answer> applied;
-    std::map<state::VmId, state::Address> learned; // of senders that are in no member set yet
+    // Addresses of senders, which may not be in the member set yet.
+    std::map<state::VmId, state::Address> learned;
 };
 
 } // namespace lavenderthread::program
--- a/src/program/ControlMemberHost.cpp
+++ b/src/program/ControlMemberHost.cpp
@@ -1,4 +1,4 @@
-// Opens the folder, founds a cluster if asked to, and wires the parts of a control member.
+// Opens the data folder, bootstraps a new cluster if configured, and connects the member's parts.
 #include "program/ControlMemberHost.h"
 
 #include "protocol/ControlCommands.h"
@@ -20,7 +20,7 @@
 
 namespace {
 
-constexpr std::uint64_t foundingTerm = 1;
+constexpr std::uint64_t bootstrapTerm = 1;
 
 bool isNew(const coordination::consensus::Stored &stored)
 {
@@ -28,13 +28,13 @@
            && stored.snapshot.last.index == 0;
 }
 
-// Every founder starts with the same first entry, so it needs no vote.
-state::Result<void> found(DurableLog &log, const MemberSet &founders,
-                          coordination::consensus::Stored &stored)
+// Writes the initial configuration entry. It is the same on every founder, so it needs no election.
+state::Result<void> bootstrapLog(DurableLog &log, const MemberSet &founders,
+                                 coordination::consensus::Stored &stored)
 {
     const std::array<LogEntry, 1> first{
-            LogEntry{{foundingTerm, 1}, LogEntryKind::Configuration, founders.encode()}};
-    stored.hardState = {foundingTerm, {}};
+            LogEntry{{bootstrapTerm, 1}, LogEntryKind::Configuration, founders.encode()}};
+    stored.hardState = {bootstrapTerm, {}};
     stored.entries.assign(first.begin(), first.end());
     BOOST_OUTCOME_TRYV(log.saveHardState(stored.hardState));
     BOOST_OUTCOME_TRYV(log.append(first));
@@ -78,7 +78,7 @@
                                     "the folder's identity is none of the founders: "
                                             + this->identity.value(),
                                     settings.folder);
-        BOOST_OUTCOME_TRYV(found(*this->log, *settings.founders, this->stored));
+        BOOST_OUTCOME_TRYV(bootstrapLog(*this->log, *settings.founders, this->stored));
     }
     if (this->stored.snapshot.bytes.empty())
         return state::outcome::success();
@@ -159,8 +159,8 @@
     this->link->stop();
 }
 
-// A committed command that can't be read is refused by every member alike: they run one version, as
-// messages between versions are refused.
+// Every member refuses a committed command that cannot be decoded: all members run the same version
+// because messages between versions are refused.
 state::control::Answer ControlMemberHost::apply(const LogEntry &entry)
 {
     const state::Result<state::control::Command> command = protocol::decodeCommand(entry.payload);
@@ -178,7 +178,7 @@
 {
     state::Result<state::control::ControlState> next = protocol::decodeControlState(snapshot.bytes);
     if (next.has_error()) {
-        // Going on would serve a state that misses what the log says it holds.
+        // Continuing would serve a state that lacks entries which the log counts as applied.
         this->controlMember->persistFailed(next.error().withStep("control.restore"));
         return;
     }
@@ -187,7 +187,8 @@
         this->hooks.restored();
 }
 
-// The image is taken now; its encoding, which takes longer, does not hold up the heartbeats.
+// Takes the image now and encodes it off the strand: encoding takes longer and must not delay
+// heartbeats.
 void ControlMemberHost::capture(const std::function<void(std::string bytes)> &done)
 {
     auto image = std::make_shared<state::control::ControlImage>(this->controlState.image());
--- a/src/program/ControlMemberHost.h
+++ b/src/program/ControlMemberHost.h
@@ -1,4 +1,4 @@
-// A whole control member: data folder, control state, peer link and consensus, wired.
+// A complete control member: data folder, control state, peer link and consensus.
 #pragma once
 
 #include "coordination/consensus/Members.h"
@@ -23,14 +23,14 @@
 struct ControlMemberHostSettings
 {
     std::string folder;
-    // Of a folder that holds no log yet; never one that another disk had. A member whose disk was
-    // lost would otherwise vote again in terms in which it has voted already.
+    // Identity for a folder that holds no log yet; must never have been used with another disk. A
+    // member that lost its disk could otherwise vote again in terms in which it has already voted.
     std::string newIdentity;
-    // The first set of a new cluster, the same at each of its members and given only when the
-    // cluster is founded; without it a new folder waits to be added as a learner. Not read when the
-    // folder holds a log.
+    // The initial member set of a new cluster, the same on each of its members and given only at
+    // bootstrap. Without it a member with a new folder waits to be added as a learner. Ignored if
+    // the folder holds a log.
     std::optional<coordination::consensus::MemberSet> founders;
-    std::size_t segmentBytes = 16U << 20U; // of the log; a restart reads what is in segments
+    std::size_t segmentBytes = 16U << 20U; // size of a log segment; a restart reads all segments
     state::Address listen;
     protocol::SealKeys keys;
     coordination::consensus::Settings consensus;
@@ -40,21 +40,22 @@
 // Called on the member's strand.
 struct ControlMemberHostHooks
 {
-    // The command came into force in state().
+    // The command has been applied to state().
     std::function<void(const state::log::LogPosition &, const state::control::Command &,
                        const state::control::Answer &)>
             applied;
     std::function<void()> restored; // state() was replaced by a newer one
     std::function<void(const coordination::consensus::RoleChange &)> roleChanged;
-    std::function<void(const state::Error &)> problem; // for the log; also from the link's strand
+    // An error to be logged; also called on the link's strand.
+    std::function<void(const state::Error &)> problem;
 };
 
-// Lives as long as any thread runs the io_context, and ends before the io_context.
+// Must outlive every thread that runs the io_context, and be destroyed before the io_context.
 class ControlMemberHost
 {
 public:
-    // Errors of the folder (Corrupt, StorageFailed, Unavailable), of the address (Unavailable), and
-    // InvalidArgument if the folder's identity is none of the founders.
+    // Errors: of the folder (Corrupt, StorageFailed, Unavailable), of the address (Unavailable),
+    // and InvalidArgument if the folder's identity is not a voter among the founders.
     static state::Result<std::unique_ptr<ControlMemberHost>>
     open(boost::asio::io_context &io, const ControlMemberHostSettings &settings,
          const ControlMemberHostHooks &hooks);
@@ -65,7 +66,7 @@
     ControlMember &member() { return *this->controlMember; }
     const state::VmId &id() const { return this->identity; }
     state::Address address() const { return this->link->address(); }
-    // On the member's strand only: in its hooks and in the callbacks of propose and read.
+    // Use on the member's strand only: in its hooks and in the callbacks of propose() and read().
     const state::control::ControlState &state() const { return this->controlState; }
 
 private:
@@ -84,13 +85,14 @@
     boost::asio::io_context &io;
     ControlMemberHostHooks hooks;
     state::VmId identity;
-    coordination::consensus::Stored stored; // as found; empty once the member runs
+    // As read from the folder; empty once the member is created.
+    coordination::consensus::Stored stored;
     state::control::ControlState controlState;
-    std::mutex memberMutex; // guards the pointer while the link runs and the member does not yet
+    std::mutex memberMutex; // guards controlMember while the link runs before the member exists
     std::shared_ptr<ControlMember> controlMember;
     std::shared_ptr<transport::PeerLink> link;
-    std::unique_ptr<transport::storage::DurableLog> log; // until the writer takes it
-    // Ends first: its threads call the member.
+    std::unique_ptr<transport::storage::DurableLog> log; // null once the writer owns it
+    // Declared last so that it is destroyed first: its threads call the member.
     std::unique_ptr<transport::storage::LogWriter> writer;
 };
 
--- a/src/program/ControlRoutes.cpp
+++ b/src/program/ControlRoutes.cpp
@@ -1,4 +1,4 @@
-// Operators' requests become commands of the replicated log; their answers become HTTP.
+// Turns operators' requests into commands of the replicated log, and answers into HTTP responses.
 #include "program/ControlRoutes.h"
 
 #include "program/Clock.h"
@@ -30,7 +30,7 @@
 namespace {
 
 constexpr std::chrono::seconds operatorDeadline{10};
-constexpr std::chrono::milliseconds retryLater{1'000};
+constexpr std::chrono::milliseconds retryAfter{1'000};
 
 HttpResponse problemAnswer(unsigned status, std::string title, std::string detail,
                            Ran ran = Ran::No)
@@ -43,7 +43,7 @@
     return problemAnswer(400, "invalid-request", error.cause);
 }
 
-// Of a command that was refused: a lost race tells by whom.
+// Response to a refused command; on a conflict it names the winning edit.
 HttpResponse refusedAnswer(const control::Refused &refused)
 {
     const bool conflict = refused.error.code == state::ErrorCode::Conflict;
@@ -71,7 +71,7 @@
         co_return toResponse(Problem{504, "not-answered",
                                      "not known whether it was accepted; send it again with the "
                                      "same request id",
-                                     Ran::Unknown, retryLater});
+                                     Ran::Unknown, retryAfter});
     const control::Answer &answer = committed.value().answer;
     if (const auto *refused = std::get_if<control::Refused>(&answer))
         co_return refusedAnswer(*refused);
@@ -83,7 +83,7 @@
             {{"accepted", true}, {"version", accepted->version}, {"resend", accepted->resend}});
 }
 
-// One operator's request on its way.
+// Handles one request of an operator.
 class OperatorCall
 {
 public:
@@ -114,7 +114,7 @@
 private:
     control::OperatorCommand commandOf(control::OperatorAction action) const
     {
-        // Without an id of its own a request can't be recognised when it is sent again.
+        // Without its own id a request cannot be recognised when it is sent again.
         const std::string id = this->request.query("request").value_or("");
         return protocol::makeOperatorCommand(state::OperatorId(this->operatorId), id, wallNow(),
                                              std::move(action));
@@ -167,7 +167,7 @@
         co_return co_await commit(this->client, std::move(command));
     }
 
-    // {"id","name","key","expected_version"}; only the key's hash is kept.
+    // Body: {"id","name","key","expected_version"}. Only the hash of the key is stored.
     asio::awaitable<HttpResponse> putAccount()
     {
         boost::system::error_code problem;
@@ -240,14 +240,15 @@
     {
         const std::string text = this->request.query("version").value_or("");
         std::uint64_t version = 0;
-        const auto [end, wrong] = std::from_chars(text.data(), text.data() + text.size(), version);
-        if (wrong != std::errc() || end != text.data() + text.size())
+        const auto [end, parseError] =
+                std::from_chars(text.data(), text.data() + text.size(), version);
+        if (parseError != std::errc() || end != text.data() + text.size())
             co_return problemAnswer(400, "invalid-request", "version: expected an integer");
         const auto found =
                 co_await this->client->enforcement(version, monotonicNow() + operatorDeadline);
         if (!found)
             co_return toResponse(
-                    Problem{503, "no-leader", found.error().cause, Ran::No, retryLater});
+                    Problem{503, "no-leader", found.error().cause, Ran::No, retryAfter});
         json::array missing;
         for (const state::VmId &vm : found.value().missing)
             missing.emplace_back(vm.value());
--- a/src/program/ControlRoutes.h
+++ b/src/program/ControlRoutes.h
@@ -1,5 +1,5 @@
-// HTTP of the control side on an entry: the entries' sealed calls, and the operators' edits, orders
-// and questions.
+// HTTP handlers of an entry for the control members: sealed calls from entries, and the edits,
+// orders and queries of operators.
 #pragma once
 
 #include "program/ControlClient.h"
@@ -17,7 +17,7 @@
                                                const protocol::SealKeys &keys,
                                                transport::HttpExchange &exchange);
 
-// `account` is null if the bearer key is not known; `client` if there are no control members.
+// `account` is null if the bearer key is unknown; `client` is null if there are no control members.
 //   GET  /v1/operator/table?format=csv|json
 //   POST /v1/operator/table?format=…&request=ID[&dry_run=1], body as exported
 //   POST /v1/operator/accounts?request=ID {"id","name","key"}
--- a/src/program/ControlService.cpp
+++ b/src/program/ControlService.cpp
@@ -1,4 +1,4 @@
-// Calls of the entries, answered on the member's strand.
+// Answers the calls of entries on the member's strand.
 #include "program/ControlService.h"
 
 #include "program/Clock.h"
@@ -24,18 +24,19 @@
 namespace {
 
 constexpr seconds advanceInterval{1};
-// A newcomer should vote within a few of these, and a held feed end close to its time.
+// A new member should become a voter within a few ticks, and a held feed call should end close to
+// its time limit.
 constexpr milliseconds tickInterval{100};
-// Three heartbeats and a half: members are milliseconds apart, and until there is a leader no entry
-// that has just started knows its configuration.
+// Three and a half heartbeats. Round trips between members take milliseconds, and an entry that has
+// just started gets no configuration until a leader is elected.
 constexpr milliseconds electionTimeout{350};
-// Without a leader an entry's call is held until one is known, instead of being asked again and
-// again by all of them at once; not for long, as this member may be the one that is cut off.
+// While there is no leader, an entry's call is held until one is known, so that the entries do not
+// all retry again and again. The wait is short because this member may be the partitioned one.
 constexpr milliseconds waitForLeader{300};
-constexpr milliseconds reopenPause{500}; // between tries to open a folder on a failing disk
+constexpr milliseconds reopenPause{500}; // between attempts to open a folder on a failing disk
 
-// Small enough for a control VM: the log keeps in memory what is not in a snapshot, and a restart
-// reads it all again. At a sixteenth of a core two megabytes took half a second to read.
+// Sized for a control VM: entries that are not in a snapshot stay in memory, and a restart reads
+// all of them. Reading two megabytes takes half a second on a sixteenth of a core.
 constexpr std::size_t leastLogBytesInMemory = 32U << 10U;
 constexpr std::size_t logBytesInMemory = 512U << 10U;
 constexpr std::size_t logSegmentBytes = 512U << 10U;
@@ -69,9 +70,9 @@
     return members;
 }
 
-// The founders are read only where control.bootstrap is set and the folder is new: a member whose
-// disk was lost would otherwise vote again in terms in which its former self has voted, and two
-// leaders could be elected in one term. It comes back under another identity instead.
+// The founders are used only if control.bootstrap is set and the folder is new. Otherwise a member
+// that lost its disk could vote again in terms in which it has already voted, and two leaders could
+// be elected in one term. Such a member returns under a new identity instead.
 state::Result<std::optional<consensus::MemberSet>> foundersOf(const Settings &settings)
 {
     const std::vector<consensus::Member> members = namedFounders(settings);
@@ -189,8 +190,8 @@
     asio::post(this->timer.get_executor(), [self = this->shared_from_this()] { self->reopen(); });
 }
 
-// A write or sync that failed leaves unknown what the disk holds; only opening the folder again
-// tells. A full disk would otherwise silence this member until somebody restarts it.
+// After a failed write or sync the contents of the disk are unknown until the folder is opened
+// again. Without reopening, a full disk would disable this member until somebody restarts it.
 void ControlService::reopen()
 {
     HostPointer failed;
@@ -228,8 +229,8 @@
     });
 }
 
-// Control time is counted by the leader, so that no VM's wall clock can end a claim early. Without
-// claims nobody asks for it, and an idle cluster writes nothing.
+// The leader advances control time, so that no VM's wall clock can expire a claim early. It does
+// not advance while there are no claims, so that an idle cluster writes nothing.
 void ControlService::advanceTime(const HostPointer &member, state::Instant now)
 {
     if (this->lastAdvance != state::Instant{} && now - this->lastAdvance < advanceInterval)
@@ -242,10 +243,11 @@
     this->lastAdvance = now;
 }
 
-// A claim that a killed entry held would stay open until its caller's deadline: a caller that comes
-// back with the same key is told "in progress" all that time, and a call that never went out is
-// never made. Once its entry is known to be gone, the claim is free again or its outcome unknown.
-// An entry that was given up wrongly finds its dispatch mark refused, so nothing runs twice.
+// Settles the claims of entries that have ended. Otherwise the claim of a killed entry stays open
+// until its caller's deadline: a retry with the same key is answered "in progress" until then, and
+// a call that was never dispatched is never made. Settling makes an undispatched claim available
+// again and gives a dispatched one an unknown outcome. If the entry is in fact alive, its
+// DispatchClaim is refused, so that nothing runs twice.
 void ControlService::settleLostClaims(const HostPointer &member)
 {
     if (!this->hooks.hasEnded)
@@ -265,7 +267,7 @@
     });
 }
 
-// One change at a time; the next tick sees what came of it.
+// Proposes one member change at a time; the next tick uses the resulting member set.
 void ControlService::repairMembers(const HostPointer &member, state::Instant now)
 {
     if (!this->leads || this->changingMembers || !this->hooks.candidates)
@@ -289,13 +291,13 @@
     });
 }
 
-// Most commands are claims and change no view; waking every held feed for each would make every
-// entry ask again for nothing.
+// Most commands are claims and do not change the view; waking every held feed for each of them
+// would make every entry poll again without need.
 void ControlService::stateChanged()
 {
     const HostPointer member = this->host();
     if (!member)
-        return; // still opening: nobody waits yet
+        return; // still opening: no feed call waits yet
     const std::uint64_t version = member->state().view().version;
     if (this->announcedView == version)
         return;
@@ -307,7 +309,7 @@
     this->wakeFeeds(std::nullopt);
 }
 
-// All waiting feeds, or only those whose time is over.
+// Wakes the feeds whose wait ended by `dueBefore`, or all of them if it is absent.
 void ControlService::wakeFeeds(std::optional<state::Instant> dueBefore)
 {
     std::vector<WaitingFeed> due;
@@ -372,14 +374,15 @@
     protocol::FeedReply reply = co_await this->readFeed(member, call);
     if (!reply.content.pages.empty() || call.waitMs == 0)
         co_return reply;
-    // Without pages it is held only while nobody leads; else the caller goes on to the leader.
+    // A call without pages is held only while no leader is known; otherwise the caller turns to the
+    // leader.
     if (!call.pages && (reply.confirmed || this->leaderAddress(member).port != 0))
         co_return reply;
     co_await this->waitForChange(seen, call.pages ? milliseconds(call.waitMs) : waitForLeader);
     co_return co_await this->readFeed(member, call);
 }
 
-// `seen`: announcedView before the view was read, so that no change in between is missed.
+// `seen`: announcedVersion before the view was read, so that no change in between is missed.
 asio::awaitable<void> ControlService::waitForChange(std::uint64_t seen, state::Duration time)
 {
     std::function<void(FeedWaiter)> start = [this, seen, time](FeedWaiter wake) {
@@ -389,7 +392,7 @@
             return;
         }
         lock.unlock();
-        wake(true); // the change came between the read and this
+        wake(true); // the version changed after the read
     };
     co_await transport::awaitCallback<bool>(std::move(start));
 }
@@ -400,7 +403,7 @@
     using Done = std::function<void(protocol::FeedReply)>;
     std::function<void(Done)> start = [self = this->shared_from_this(), member,
                                        call](const Done &done) {
-        // The callback runs where the applied state stands still.
+        // The callback runs on the member's strand, where the applied state does not change.
         member->member().read(consensus::ReadKind::Lease, [self, member, call,
                                                            done](const auto &read) {
             protocol::FeedReply reply;
@@ -440,8 +443,8 @@
     co_return co_await transport::awaitCallback<protocol::EnforcementReply>(std::move(start));
 }
 
-// By a round and not by the lease: a VM that was suspended wakes with its lease still valid on its
-// clock, while another leader has long accepted a newer configuration.
+// Uses a quorum round instead of the lease: when a suspended VM resumes, its lease may still be
+// valid by its own clock although another leader has accepted a newer configuration.
 asio::awaitable<protocol::ConfigurationReply> ControlService::configuration(HostPointer member)
 {
     using Done = std::function<void(protocol::ConfigurationReply)>;
--- a/src/program/ControlService.h
+++ b/src/program/ControlService.h
@@ -1,6 +1,5 @@
-// The control member of this process towards the entries: answers their calls, counts the time of
-// the replicated state, keeps the member set in repair, and starts the member again when its disk
-// has failed it.
+// Serves the control member of this process to the entries: answers their calls, advances the
+// replicated control time, replaces lost members, and restarts the member after a disk failure.
 #pragma once
 
 #include "coordination/consensus/MemberPlan.h"
@@ -28,10 +27,10 @@
 public:
     struct Hooks
     {
-        // Processes with a data folder that live, as membership knows; empty hook: the member set
-        // is left alone.
+        // Returns the live processes with a data folder according to membership. If the hook is
+        // empty, the member set is not changed.
         std::function<std::vector<coordination::consensus::Candidate>()> candidates;
-        // Whether that process is known to have ended; empty hook: none is.
+        // Returns whether that process is known to have ended. Empty hook: none is.
         std::function<bool(const state::VmId &entry, std::uint64_t incarnation)> hasEnded;
     };
 
@@ -40,7 +39,7 @@
     create(const Settings &settings, boost::asio::io_context &context, Hooks hooks);
 
     void start();
-    void stop(); // call before the threads end
+    void stop(); // must be called before the io_context's threads end
 
     boost::asio::awaitable<protocol::ControlReply> answer(protocol::ControlCall call);
     const state::VmId &identity() const { return this->id; } // of the data folder
@@ -78,7 +77,7 @@
     boost::asio::steady_timer timer;
     state::VmId id;
     mutable std::mutex hostMutex; // guards the pointer; never held across a call
-    HostPointer currentHost;      // null while the folder can't be opened
+    HostPointer currentHost;      // null while the folder cannot be opened
     state::Instant reopenAt{};    // while currentHost is null
 
     struct WaitingFeed
@@ -87,16 +86,16 @@
         FeedWaiter wake;
     };
     std::mutex feedMutex;
-    std::vector<WaitingFeed> waitingFeeds;        // answered when the state changes, or in time
-    std::atomic<std::uint64_t> announcedView = 0; // version; changes under feedMutex
+    std::vector<WaitingFeed> waitingFeeds;        // answered on a view change or at `until`
+    std::atomic<std::uint64_t> announcedView = 0; // version; written under feedMutex
 
-    // On the member's strand only.
+    // Used on the member's strand only, except the atomics.
     coordination::orders::EnforcementTracker tracker;
     protocol::FeedEncoder feedEncoder;
     std::atomic<bool> leads = false;
     std::atomic<bool> stopped = false;
-    std::atomic<bool> hasClaims = false; // or nothing counts control time
-    // On the timer's strand only.
+    std::atomic<bool> hasClaims = false; // control time advances only if true
+    // Used on the timer's strand only.
     coordination::consensus::MemberPlan plan;
     state::Instant lastAdvance{};
     bool changingMembers = false;
--- a/src/program/OperatorCommands.cpp
+++ b/src/program/OperatorCommands.cpp
@@ -1,4 +1,4 @@
-// table, account, order, in-force: an operator at the command line, through any entry.
+// The operators' subcommands table, account, order and in-force, sent through any entry.
 #include "program/Clock.h"
 #include "program/Commands.h"
 #include "program/RunToEnd.h"
@@ -31,8 +31,9 @@
     co_return co_await transport::httpCall(executor, entry, std::move(request), limits);
 }
 
-// Asks the entries in turn until one can be connected, prints its answer, and gives the exit code.
-int ask(const OperatorOptions &options, protocol::HttpRequest request)
+// Tries the entries in order until one accepts a connection, prints its answer and returns the exit
+// code.
+int sendToEntries(const OperatorOptions &options, protocol::HttpRequest request)
 {
     request.headers.add("Authorization", "Bearer " + options.key);
     for (const std::string &text : options.entries) {
@@ -70,11 +71,11 @@
 }
 
 protocol::HttpRequest post(const OperatorOptions &options, const std::string &path,
-                           std::string body, const std::string &moreQuery = {})
+                           std::string body, const std::string &extraQuery = {})
 {
     protocol::HttpRequest request;
     request.method = "POST";
-    request.target = path + "?request=" + requestId(options) + moreQuery;
+    request.target = path + "?request=" + requestId(options) + extraQuery;
     request.body = std::move(body);
     return request;
 }
@@ -91,7 +92,7 @@
 
 int runTableGet(const OperatorOptions &options, const std::string &format)
 {
-    return ask(options, get("/v1/operator/table?format=" + format));
+    return sendToEntries(options, get("/v1/operator/table?format=" + format));
 }
 
 int runTableApply(const OperatorOptions &options, const std::string &file, bool dryRun)
@@ -108,14 +109,14 @@
     std::string query = format.value() == TableFormat::Csv ? "&format=csv" : "&format=json";
     if (dryRun)
         query += "&dry_run=1";
-    return ask(options, post(options, "/v1/operator/table", text.str(), query));
+    return sendToEntries(options, post(options, "/v1/operator/table", text.str(), query));
 }
 
 int runAccountPut(const OperatorOptions &options, const std::string &id, const std::string &name,
                   const std::string &accountKey)
 {
     const json::object body{{"id", id}, {"name", name}, {"key", accountKey}};
-    return ask(options, post(options, "/v1/operator/accounts", json::serialize(body)));
+    return sendToEntries(options, post(options, "/v1/operator/accounts", json::serialize(body)));
 }
 
 int runOrder(const OperatorOptions &options, const OrderOptions &order)
@@ -131,12 +132,13 @@
         body["role"] = order.role;
     if (order.count > 0)
         body["count"] = order.count;
-    return ask(options, post(options, "/v1/operator/orders", json::serialize(body)));
+    return sendToEntries(options, post(options, "/v1/operator/orders", json::serialize(body)));
 }
 
 int runEnforcement(const OperatorOptions &options, std::uint64_t version)
 {
-    return ask(options, get("/v1/operator/enforcement?version=" + std::to_string(version)));
+    return sendToEntries(options,
+                         get("/v1/operator/enforcement?version=" + std::to_string(version)));
 }
 
 } // namespace lavenderthread::program
--- a/src/program/Settings.cpp
+++ b/src/program/Settings.cpp
@@ -1,4 +1,4 @@
-// From the checked document to typed members, and the checks that span several settings.
+// Converts the validated document to typed members and performs checks across several settings.
 #include "program/Settings.h"
 
 #include "program/SettingsSchema.h"
@@ -12,7 +12,7 @@
 
 namespace {
 
-// The schema has checked the text already.
+// The schema has already validated the text.
 state::Address addressOf(const std::string &text)
 {
     return state::Address::parse(text).value();
@@ -111,7 +111,7 @@
     }
 }
 
-state::Result<void> checkTogether(const Settings &settings, const std::string &file)
+state::Result<void> checkConsistency(const Settings &settings, const std::string &file)
 {
     const auto fail = [&](const std::string &cause) {
         return state::makeError(state::ErrorCode::InvalidArgument, "settings.check", cause, file);
@@ -123,7 +123,7 @@
     std::set<std::string> seen;
     for (const AccountSetting &account : settings.accounts) {
         if (!seen.insert(account.id.value()).second)
-            return fail("accounts: " + account.id.value() + " stands twice");
+            return fail("accounts: " + account.id.value() + " is listed twice");
     }
     static const std::set<std::string> levels = {"debug", "info", "warning", "error"};
     if (!levels.contains(settings.logLevel))
@@ -171,7 +171,7 @@
     settings.logLevel = document.text("log.level");
     readSeeds(document, settings);
     readLists(document, settings);
-    BOOST_OUTCOME_TRY(checkTogether(settings, file));
+    BOOST_OUTCOME_TRY(checkConsistency(settings, file));
     return settings;
 }
 
--- a/src/program/Settings.h
+++ b/src/program/Settings.h
@@ -1,4 +1,4 @@
-// All settings of one node as an immutable value, made from a checked document.
+// All settings of one node as an immutable value, read from a validated document.
 #pragma once
 
 #include "protocol/Seal.h"
@@ -56,7 +56,7 @@
     std::chrono::milliseconds silence{};
 };
 
-// The transparent relay and its side doors; absent addresses are not served.
+// The transparent relay and its auxiliary listeners; an absent address is not served.
 struct RelaySettings
 {
     std::optional<state::Address> listen;
@@ -80,7 +80,7 @@
     std::string clusterName;
     protocol::SealKeys keys;
     std::vector<state::Address> seeds;
-    std::vector<state::Address> seedHosts; // with the gossip port filled in, they are among seeds
+    std::vector<state::Address> seedHosts; // also in `seeds`, with the gossip port
     state::VmId vm;
     state::FailureDomain failureDomain;
     state::Region region;
--- a/src/program/SettingsRules.cpp
+++ b/src/program/SettingsRules.cpp
@@ -1,4 +1,4 @@
-// The table of settings. A new setting is one line here and one member in Settings.
+// The table of settings. A new setting needs one line here and one member in Settings.
 #include "program/SettingsSchema.h"
 
 namespace lavenderthread::program {
--- a/src/program/SettingsSchema.cpp
+++ b/src/program/SettingsSchema.cpp
@@ -1,4 +1,4 @@
-// Checks a JSON document against the rules and fills in defaults.
+// Validates a JSON document against the rules and fills in defaults.
 #include "program/SettingsSchema.h"
 
 #include "state/Address.h"
@@ -109,7 +109,7 @@
 
 } // namespace
 
-// Walks the document once against the rules and collects every problem.
+// Traverses the document once, validates it against the rules and collects all problems.
 class SettingsReader
 {
 public:
@@ -136,7 +136,7 @@
         this->problems += path + ": " + text;
     }
 
-    // `rulePrefix` is the path in the rules, `prefix` the one with indices.
+    // `rulePrefix` is the path in the rules; `prefix` is the same path with list indices.
     void readMembers(const json::object &object, const std::string &rulePrefix,
                      const std::string &prefix)
     {
@@ -260,17 +260,17 @@
     std::string page = "# Settings\n\nMade by `lavenderthread check-settings --reference`.\n";
     std::string section;
     for (const SettingRule &rule : settingRules()) {
-        const std::string own = rule.path.substr(0, rule.path.find_first_of(".["));
-        if (own != section) {
-            section = own;
+        const std::string ruleSection = rule.path.substr(0, rule.path.find_first_of(".["));
+        if (ruleSection != section) {
+            section = ruleSection;
             page += "\n## " + section
                     + "\n\n| Setting | Allowed | Default | Meaning |\n| --- | --- | --- | --- |\n";
         }
-        const std::string standard = rule.required             ? "required"
-                                     : rule.standard.is_null() ? "absent"
-                                                               : json::serialize(rule.standard);
-        page += "| `" + rule.path + "` | " + allowed(rule) + " | " + standard + " | " + rule.meaning
-                + " |\n";
+        const std::string defaultText = rule.required             ? "required"
+                                        : rule.standard.is_null() ? "absent"
+                                                                  : json::serialize(rule.standard);
+        page += "| `" + rule.path + "` | " + allowed(rule) + " | " + defaultText + " | "
+                + rule.meaning + " |\n";
     }
     return page;
 }
--- a/src/program/SettingsSchema.h
+++ b/src/program/SettingsSchema.h
@@ -1,6 +1,5 @@
-// The one declaration of every setting: path, type, unit, default, range, meaning. Parsing,
-// checking, `check-settings` and the reference page (docs/operators/settings.md) are all made from
-// it.
+// Declares every setting once: path, type, unit, default, range and description. Parsing,
+// validation, `check-settings` and the reference page (docs/operators/settings.md) derive from it.
 #pragma once
 
 #include "state/Error.h"
@@ -22,7 +21,7 @@
     std::string path; // "entry.listen"; "accounts[].id" for a member of each object of a list
     SettingType type = SettingType::Text;
     std::string unit;            // "ms", "bytes"; empty if none
-    boost::json::value standard; // default; null if required, or if optional and absent
+    boost::json::value standard; // null if required, or if optional without a default
     bool required = false;
     double least = 0; // numbers: range; texts and lists: length
     double most = 0;
@@ -31,15 +30,15 @@
 
 const std::vector<SettingRule> &settingRules();
 
-// A checked document: every value has the right type and range, defaults are filled in.
+// A validated document: every value has the right type and range, and defaults are filled in.
 class SettingsDocument
 {
 public:
-    // Errors (InvalidArgument, peer = file): each names the path and what is allowed. All problems
-    // of the file are in the cause, one a line.
+    // Error: InvalidArgument, with peer = file. The cause lists all problems of the file, one per
+    // line, each with the path and the allowed values.
     static state::Result<SettingsDocument> create(std::string_view json, const std::string &file);
 
-    // `path` as in the rules without "[]"; the members of lists have an index: "accounts[0].id".
+    // `path` is as in the rules, but list elements have an index: "accounts[0].id".
     std::string text(const std::string &path) const;
     std::int64_t integer(const std::string &path) const;
     double number(const std::string &path) const;
@@ -54,7 +53,7 @@
     friend class SettingsReader;
 };
 
-// The reference page as Markdown, one table a section.
+// Returns the reference page as Markdown, with one table per section.
 std::string settingsReference();
 
 } // namespace lavenderthread::program
--- a/src/program/TableCommands.cpp
+++ b/src/program/TableCommands.cpp
@@ -1,4 +1,4 @@
-// Puts the table's own import, export and checks together for the command line.
+// Combines import, export and validation of the table for the command line.
 #include "program/TableCommands.h"
 
 #include "program/Commands.h"
--- a/src/program/TableCommands.h
+++ b/src/program/TableCommands.h
@@ -1,5 +1,5 @@
-// What `lavenderthread table get|set|apply` does with the table once it has been fetched, and with
-// what the system answered: pure functions on values, apart from reading a file.
+// Logic of `lavenderthread table get|set|apply` on a fetched table and on the answer to a command:
+// pure functions on values.
 #pragma once
 
 #include "state/Error.h"
@@ -16,40 +16,41 @@
 
 enum class TableFormat : std::uint8_t { Csv, Json };
 
-// By the ending of the file's name. Error: InvalidArgument, step "table.format".
+// Determined by the file name extension. Error: InvalidArgument, step "table.format".
 state::Result<TableFormat> tableFormatOf(std::string_view fileName);
 
-// `table get`: the whole table, or the rows of one account.
+// `table get`: prints the whole table, or the rows of one account.
 std::string printTable(const state::table::Table &table, TableFormat format,
                        const std::optional<state::ClientAccountId> &onlyAccount = std::nullopt);
 
-// `table set ACCOUNT WORK_CLASS weight=5 priority=2`: one edit against the version that was
-// fetched. Error: InvalidArgument, naming row, column and allowed range.
+// `table set ACCOUNT WORK_CLASS weight=5 priority=2`: one edit based on the fetched version.
+// Error: InvalidArgument, naming row, column and allowed range.
 state::Result<state::control::EditRows> planSet(const state::table::Table &table,
                                                 const state::TableKey &key,
                                                 const std::vector<std::string> &assignments);
 
-// `table apply FILE [--dry-run] [--remove-missing]`: the difference, ready to be shown or sent.
-// Error: InvalidArgument, with every bad cell.
+// `table apply FILE [--dry-run] [--remove-missing]`: the difference, to be shown or sent.
+// Error: InvalidArgument, listing every invalid cell.
 state::Result<state::table::TableDifference> planApply(const state::table::Table &table,
                                                        std::string_view text, TableFormat format,
                                                        state::table::MissingRows missing);
 
-// The edits in commands that each fit one log entry. Edits of one command are stored all or none; a
-// table within `editsOfOneCommand` rows is one command.
+// Splits the edits into commands that each fit in one log entry. A command is applied atomically; a
+// table of up to `maxEditsPerCommand` rows is one command.
 constexpr std::size_t editsOfOneCommand = 10'000;
 std::vector<state::control::EditRows> commandsFor(const state::table::TableDifference &difference);
 
-// The dry run's answer as JSON: {"changes":[{"kind","account","work_class","stale","cells":{…}}]}.
+// Output of a dry run as JSON: {"changes":[{"kind","account","work_class","stale","cells":{…}}]}.
 std::string differenceAsJson(const state::table::TableDifference &difference);
 
 struct TableReply
 {
     int exitCode = 0;
-    std::string text; // one line for a person, or one JSON object
+    std::string text; // one line of plain text, or one JSON object
 };
 
-// Accepted: exit code 0; a lost race or a bad cell: exitFailed, telling by whom and when.
+// Exit code 0 if accepted. On a conflict or an invalid cell exitFailed; a conflict names the
+// winning operator and the time.
 TableReply describeAnswer(const state::control::Answer &answer, bool asJson);
 
 } // namespace lavenderthread::program
--- a/tests/program/ControlMemberTest.cpp
+++ b/tests/program/ControlMemberTest.cpp
@@ -1,5 +1,5 @@
-// Three control members on loopback, each with its own threads, link and folder: the leader dies
-// under load, and comes back.
+// Three control members on loopback, each with its own threads, link and folder. Tests the failure
+// and restart of the leader under load, and the replacement of a member that lost its disk.
 #include "program/ControlMemberHost.h"
 
 #include "protocol/ControlCommands.h"
@@ -36,9 +36,9 @@
 
 namespace {
 
-constexpr std::chrono::seconds brokenRun{30}; // only ends a run that hangs; decides nothing
+constexpr std::chrono::seconds hangTimeout{30}; // ends a hanging test; no limit under test
 
-// One member as a process would run it: threads of its own and a folder that outlives them.
+// Runs one member as a process would: with its own threads and a folder that outlives them.
 class Node
 {
 public:
@@ -63,11 +63,11 @@
                         std::get<state::control::OperatorCommand>(command).stamp.requestId);
         };
         hooks.restored = [this] {
-            this->noteState();
+            this->recordState();
             ++this->restores;
         };
         this->host = ControlMemberHost::open(this->io, settings, hooks).value();
-        this->noteState();
+        this->recordState();
         this->host->start();
         for (int count = 0; count < 2; ++count)
             this->threads.emplace_back([this] { this->io.run(); });
@@ -92,8 +92,8 @@
     std::atomic<int> restores = 0; // snapshots received from a leader
 
 private:
-    // What a snapshot held, in place of the commands behind it.
-    void noteState()
+    // Replaces the recorded requests by those contained in a restored snapshot.
+    void recordState()
     {
         const std::lock_guard lock(this->mutex);
         this->requests.clear();
@@ -112,8 +112,8 @@
     std::vector<std::thread> threads;
 };
 
-// A port that is free now. Another process may take it before the member does, which fails the test
-// loudly.
+// Returns a port that is free now. If another process takes it before the member does, the test
+// fails with an error.
 std::uint16_t freePort()
 {
     asio::io_context io;
@@ -134,7 +134,7 @@
 class ControlMemberTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(ControlMemberTest);
-    CPPUNIT_TEST(leaderDiesUnderLoad);
+    CPPUNIT_TEST(leaderFailsUnderLoad);
     CPPUNIT_TEST(lostDiskIsReplaced);
     CPPUNIT_TEST_SUITE_END();
 
@@ -150,7 +150,7 @@
 
     using Cluster = std::array<std::unique_ptr<Node>, 3>;
 
-    // One round of callers at every member that runs; gives how many changes were accepted.
+    // Proposes 20 changes at every running member; returns how many were accepted.
     std::size_t proposeOnce(const Cluster &cluster)
     {
         std::vector<std::pair<std::string, std::future<ProposalResult>>> waiting;
@@ -166,7 +166,7 @@
         }
         std::size_t count = 0;
         for (auto &[request, future] : waiting) {
-            CPPUNIT_ASSERT(future.wait_for(brokenRun) == std::future_status::ready);
+            CPPUNIT_ASSERT(future.wait_for(hangTimeout) == std::future_status::ready);
             if (future.get().outcome != ProposalOutcome::Committed)
                 continue;
             this->accepted.push_back(request);
@@ -179,7 +179,7 @@
     {
         const auto begin = std::chrono::steady_clock::now();
         while (this->proposeOnce(cluster) == 0) {
-            CPPUNIT_ASSERT(std::chrono::steady_clock::now() - begin < brokenRun);
+            CPPUNIT_ASSERT(std::chrono::steady_clock::now() - begin < hangTimeout);
             std::this_thread::sleep_for(std::chrono::milliseconds(5));
         }
         return std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -204,27 +204,27 @@
                                [&](const auto &each) { return applied.count(each) == 1; });
         };
         while (!holdsAll()) {
-            CPPUNIT_ASSERT(std::chrono::steady_clock::now() - begin < brokenRun);
+            CPPUNIT_ASSERT(std::chrono::steady_clock::now() - begin < hangTimeout);
             std::this_thread::sleep_for(std::chrono::milliseconds(20));
         }
     }
 
-    // Callers propose without pause while the leader's process ends. Their proposals there are
-    // answered "unknown"; after an election the others accept changes again, none that was accepted
-    // is missing anywhere, and the old leader catches up from its disk when it is started again.
-    void leaderDiesUnderLoad()
+    // The leader's process ends between rounds of proposals. After an election the other members
+    // accept changes again, no accepted change is missing on any member, and the old leader catches
+    // up from its disk when it is restarted.
+    void leaderFailsUnderLoad()
     {
         Cluster cluster = this->startThree();
         this->untilAccepted(cluster);
         for (int round = 0; round < 20; ++round)
             this->proposeOnce(cluster);
 
-        const std::size_t old = leaderOf(cluster);
-        cluster.at(old) = nullptr;
+        const std::size_t oldLeader = leaderOf(cluster);
+        cluster.at(oldLeader) = nullptr;
         const std::chrono::milliseconds took = this->untilAccepted(cluster);
         std::cout << " accepted again after " << took.count() << " ms";
 
-        cluster.at(old) = this->startNode(this->members[old], std::nullopt);
+        cluster.at(oldLeader) = this->startNode(this->members[oldLeader], std::nullopt);
         for (int round = 0; round < 5; ++round)
             this->proposeOnce(cluster);
         for (const std::unique_ptr<Node> &node : cluster)
@@ -232,9 +232,10 @@
         this->readSeesAll(cluster);
     }
 
-    // A member is gone with its disk. A new one at the same address, under a new identity and with
-    // an empty folder, receives a snapshot and the log, votes, and the lost one leaves last. Then
-    // all processes end at once and start again: every accepted change is still there.
+    // A member is lost together with its disk. A new member at the same address, with a new
+    // identity and an empty folder, receives a snapshot and the log and becomes a voter; the lost
+    // member is removed last. Then all processes end at once and restart: no accepted change is
+    // lost.
     void lostDiskIsReplaced()
     {
         Cluster cluster = this->startThree();
@@ -265,7 +266,7 @@
     {
         const auto begin = std::chrono::steady_clock::now();
         while (true) {
-            CPPUNIT_ASSERT(std::chrono::steady_clock::now() - begin < brokenRun);
+            CPPUNIT_ASSERT(std::chrono::steady_clock::now() - begin < hangTimeout);
             ControlMember &leader = cluster.at(leaderOf(cluster))->member();
             const auto status = leader.status();
             if (status->role == Role::Leader && status->members == target)
@@ -276,7 +277,7 @@
                 leader.proposeChange(*change, [promise](ProposalResult result) {
                     promise->set_value(std::move(result));
                 });
-                CPPUNIT_ASSERT(promise->get_future().wait_for(brokenRun)
+                CPPUNIT_ASSERT(promise->get_future().wait_for(hangTimeout)
                                == std::future_status::ready);
             }
             std::this_thread::sleep_for(std::chrono::milliseconds(10));
@@ -303,7 +304,8 @@
         return cluster;
     }
 
-    // Whoever leads answers; while nobody does, the answer is "not confirmed" and never an old one.
+    // The leader confirms reads of both kinds. Without a leader a read is unconfirmed and never
+    // stale.
     void readSeesAll(const Cluster &cluster) const
     {
         for (const ReadKind kind : {ReadKind::Lease, ReadKind::Round}) {
@@ -315,7 +317,7 @@
                         .read(kind,
                               [promise](const ReadAnswer &answer) { promise->set_value(answer); });
                 std::future<ReadAnswer> future = promise->get_future();
-                CPPUNIT_ASSERT(future.wait_for(brokenRun) == std::future_status::ready);
+                CPPUNIT_ASSERT(future.wait_for(hangTimeout) == std::future_status::ready);
                 const ReadAnswer answer = future.get();
                 confirmed = answer.confirmed;
                 CPPUNIT_ASSERT(!confirmed || answer.index >= this->accepted.size());
--- a/tests/program/SettingsTest.cpp
+++ b/tests/program/SettingsTest.cpp
@@ -1,4 +1,4 @@
-// Table of settings files that must be refused, each with the path and what is allowed.
+// Tests defaults, and invalid settings files: each error names the path and the allowed values.
 #include "program/Settings.h"
 #include "program/SettingsSchema.h"
 
@@ -12,10 +12,10 @@
 constexpr const char *good = R"({"cluster":{"name":"c","keys":["k"]},
     "vm":{"id":"v","failure_domain":"f"},"entry":{"listen":"127.0.0.1:1"}MORE})";
 
-std::string with(const std::string &more)
+std::string with(const std::string &extra)
 {
     std::string text = good;
-    return text.replace(text.find("MORE"), 4, more);
+    return text.replace(text.find("MORE"), 4, extra);
 }
 
 } // namespace
@@ -24,7 +24,7 @@
 {
     CPPUNIT_TEST_SUITE(SettingsTest);
     CPPUNIT_TEST(defaultsAreFilledIn);
-    CPPUNIT_TEST(badSettingsAreNamed);
+    CPPUNIT_TEST(invalidSettingsAreRejected);
     CPPUNIT_TEST(everyRuleIsInTheReference);
     CPPUNIT_TEST_SUITE_END();
 
@@ -38,7 +38,7 @@
         CPPUNIT_ASSERT(!settings.value().gossipListen);
     }
 
-    void badSettingsAreNamed()
+    void invalidSettingsAreRejected()
     {
         const std::pair<const char *, const char *> cases[] = {
                 {R"(,"entri":{})", "entri: unknown setting"},
@@ -46,7 +46,7 @@
                 {R"(,"accounts":[{"id":"a","key":"short"}])",
                  "accounts[0].key: expected text of 8 to 256 characters"},
                 {R"(,"accounts":[{"id":"a","key":"12345678"},{"id":"a","key":"23456789"}])",
-                 "a stands twice"},
+                 "a is listed twice"},
                 {R"(,"accounts":{})", "accounts: expected a list of objects"},
                 {R"(,"accounts":[7])", "accounts[0]: expected an object"},
                 {R"(,"gossip":7)", "gossip: expected an object"},
@@ -55,9 +55,9 @@
                 {R"(,"log":{"level":"loud"})", "log.level: expected debug"},
                 {R"(,"control":{"bootstrap":"yes"})", "control.bootstrap: expected true or false"},
         };
-        for (const auto &[more, message] : cases) {
-            const auto settings = Settings::parse(with(more), "vm.json");
-            CPPUNIT_ASSERT_MESSAGE(more, settings.has_error());
+        for (const auto &[extra, message] : cases) {
+            const auto settings = Settings::parse(with(extra), "vm.json");
+            CPPUNIT_ASSERT_MESSAGE(extra, settings.has_error());
             CPPUNIT_ASSERT_EQUAL(std::string("vm.json"), settings.error().peer);
             CPPUNIT_ASSERT_MESSAGE(settings.error().cause,
                                    settings.error().cause.find(message) != std::string::npos);
--- a/tests/program/TableCommandsTest.cpp
+++ b/tests/program/TableCommandsTest.cpp
@@ -1,4 +1,4 @@
-// What operators see of the table's commands, down to the race that one of them loses.
+// Tests the operators' table commands, including two conflicting edits of the same cell.
 #include "program/TableCommands.h"
 #include "state/control/ControlState.h"
 
@@ -32,15 +32,16 @@
 class TableCommandsTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TableCommandsTest);
-    CPPUNIT_TEST(setAndLoseARace);
-    CPPUNIT_TEST(badAssignments);
-    CPPUNIT_TEST(applyShowsThenSends);
+    CPPUNIT_TEST(conflictingSetIsRefused);
+    CPPUNIT_TEST(invalidAssignmentsAreRefused);
+    CPPUNIT_TEST(applyDescribesAndSendsDifference);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void setAndLoseARace()
+    void conflictingSetIsRefused()
     {
-        // Two operators fetch the same table and set the same cell; the second is told who won.
+        // Two operators fetch the same table and set the same cell; the second one's refusal names
+        // the first.
         control::ControlState state;
         submit(state, "ana", control::PutAccount{{acme, "Acme", "", 0}, 0});
         const table::Table fetched = state.view().table;
@@ -58,7 +59,7 @@
                        == std::string::npos);
     }
 
-    void badAssignments()
+    void invalidAssignmentsAreRefused()
     {
         const std::vector<std::vector<std::string>> cases{
                 {}, {"weight"}, {"weight=0"}, {"colour=1"}, {"weight=1", "priority=11"}};
@@ -69,7 +70,7 @@
         CPPUNIT_ASSERT(tableFormatOf("table.txt").has_error());
     }
 
-    void applyShowsThenSends()
+    void applyDescribesAndSendsDifference()
     {
         control::ControlState state;
         submit(state, "ana", control::PutAccount{{acme, "Acme", "", 0}, 0});
