--- a/src/state/Address.cpp
+++ b/src/state/Address.cpp
@@ -1,5 +1,5 @@
-// Text form of addresses. Whether the IP number is well formed is checked by the transport that
-// binds or connects it; here only the shape is.
+// Text form of addresses. Only the overall form is checked here; the transport that binds or
+// connects the address checks that the IP address is valid.
 #include "state/Address.h"
 
 #include <charconv>
--- a/src/state/Address.h
+++ b/src/state/Address.h
@@ -1,4 +1,4 @@
-// An IP number and port. Processes know each other by these, never by host names.
+// IP address and port. Processes address each other by these, never by host names.
 #pragma once
 
 #include "state/Error.h"
@@ -12,7 +12,7 @@
 
 struct Address
 {
-    std::string ip; // IPv4 dotted or IPv6 without brackets
+    std::string ip; // dotted IPv4 or IPv6 without brackets
     std::uint16_t port = 0;
 
     // Accepts "10.0.0.1:80" and "[::1]:80". Error: InvalidArgument, step "address.parse".
--- a/src/state/ByteBudget.h
+++ b/src/state/ByteBudget.h
@@ -1,4 +1,4 @@
-// Token bucket over the bytes that one process sends for a purpose.
+// Token bucket that limits the bytes which one process sends for one purpose.
 #pragma once
 
 #include "state/Time.h"
@@ -11,15 +11,16 @@
 class ByteBudget
 {
 public:
-    ByteBudget(double bytesPerSecond, double burstBytes, double leastBytes, Instant start)
+    ByteBudget(double bytesPerSecond, double burstBytes, double minimumBytes, Instant start)
         : rate(bytesPerSecond)
         , burst(burstBytes)
-        , least(leastBytes)
+        , least(minimumBytes)
         , available(burstBytes)
         , refilledAt(start)
     {}
 
-    // Below zero once what is sent in any case has used more than there was.
+    // Bytes that may be sent now. Negative when traffic that is sent regardless of the budget has
+    // exceeded it.
     double left(Instant now)
     {
         const std::chrono::duration<double> elapsed = now - this->refilledAt;
@@ -33,10 +34,11 @@
     }
 
 private:
-    double rate;  // bytes a second
+    double rate;  // bytes per second
     double burst; // bytes
-    // Debt stops here: where what is sent in any case alone uses up the rate, as probes on a bad
-    // network, a debt without end would never again leave a byte for the rest.
+    // Lower bound of `available`, in bytes. Where traffic that is sent regardless of the budget
+    // uses up the whole rate, such as probes on a bad network, an unlimited debt would leave no
+    // bytes for other traffic ever again.
     double least;
     double available;
     Instant refilledAt;
--- a/src/state/Endpoint.h
+++ b/src/state/Endpoint.h
@@ -1,4 +1,4 @@
-// What an endpoint says of itself: its announcement when it arrives, and its reports after that.
+// What an endpoint reports about itself: a description when it announces itself, then load reports.
 #pragma once
 
 #include "state/Address.h"
@@ -12,20 +12,21 @@
 
 enum class EndpointKind : std::uint8_t { Engine, PlainService };
 
-// Immutable. Sent by the endpoint, stored by its owner, read by every entry that routes to it.
+// Immutable. Sent by the endpoint, stored by its owner, and read by every entry that
+// routes to it.
 struct EndpointDescription
 {
     EndpointId id;
     Address address;
     EndpointKind kind = EndpointKind::Engine;
     FailureDomain failureDomain;
-    ServiceName service;                // what callers ask for; an engine's models are listed below
-    std::vector<ModelName> models;      // loaded now; empty for a plain service
-    std::uint64_t incarnation = 0;      // grows with each start of the endpoint under the same id
-    std::uint64_t kvCapacityTokens = 0; // engine memory for KV cache, in tokens
-    double prefillTokensPerSecond = 0;  // of one idle engine
-    double decodeTokensPerSecond = 0;   // of one sequence alone
-    bool honoursFencing = false;        // refuses orders that carry an old fencing number
+    ServiceName service; // the service that callers request; an engine's models are listed below
+    std::vector<ModelName> models; // currently loaded; empty for a plain service
+    std::uint64_t incarnation = 0; // increases with each start of the endpoint under the same id
+    std::uint64_t kvCapacityTokens = 0; // capacity of an engine's KV cache, in tokens
+    double prefillTokensPerSecond = 0;  // of an idle engine
+    double decodeTokensPerSecond = 0;   // of a sequence that runs alone
+    bool honoursFencing = false;        // refuses orders with an outdated fencing number
 
     auto operator<=>(const EndpointDescription &) const = default;
 
@@ -38,16 +39,16 @@
     }
 };
 
-// Load as an endpoint reports it: late by its lag, and missing at times.
+// Load as reported by an endpoint: delayed by the endpoint's report lag, and sometimes missing.
 struct LoadReport
 {
     EndpointId endpoint;
     std::uint64_t incarnation = 0;
-    std::uint64_t sequence = 0; // grows with each report of one incarnation
+    std::uint64_t sequence = 0; // increases with each report of one incarnation
     std::uint32_t runningRequests = 0;
     std::uint32_t waitingRequests = 0;
-    std::uint64_t waitingPrefillTokens = 0; // not yet prefilled, of all its requests
-    std::uint64_t kvUsedTokens = 0;         // pinned by running work, exports and reservations
+    std::uint64_t waitingPrefillTokens = 0; // prompt tokens still to prefill, of all its requests
+    std::uint64_t kvUsedTokens = 0;         // pinned by running requests, exports and reservations
 
     auto operator<=>(const LoadReport &) const = default;
 
--- a/src/state/Error.cpp
+++ b/src/state/Error.cpp
@@ -1,4 +1,4 @@
-// Names of the error codes and the text form of an error.
+// Names of error codes and the text form of errors.
 #include "state/Error.h"
 
 #include <utility>
--- a/src/state/Error.h
+++ b/src/state/Error.h
@@ -1,5 +1,5 @@
 // Typed errors and the Result that carries them. Every fallible function of the project returns
-// Result<T>; an error tells what went wrong (code), at which step, at which peer, and why.
+// Result<T>; an error contains what went wrong (code), at which step, with which peer, and why.
 #pragma once
 
 #include <boost/outcome/basic_result.hpp>
@@ -11,16 +11,16 @@
 
 namespace lavenderthread::state {
 
-// What kind of failure it is. Callers branch on this and on nothing else.
+// Kind of failure. Callers branch on this and on nothing else.
 enum class ErrorCode {
-    InvalidArgument, // the input breaks its documented shape or range
+    InvalidArgument, // the input violates its documented format or range
     NotFound,
     AlreadyExists,
-    Conflict,    // compare-and-set lost, or the same id with other content
+    Conflict,    // compare-and-set failed, or the same id was used with other content
     NotLeader,   // ask another control member
-    Unavailable, // the peer can't be reached or refuses for now
+    Unavailable, // the peer can't be reached or refuses temporarily
     Timeout,
-    Overloaded,    // refused by admission; the request did not run
+    Overloaded,    // refused by admission control; the request did not run
     Corrupt,       // stored or received bytes fail their check
     StorageFailed, // write or sync failed; nothing was acknowledged
     Unauthorized,
@@ -36,12 +36,12 @@
 {
     ErrorCode code = ErrorCode::Internal;
     std::string step;  // the operation that failed, for example "settings.read"
-    std::string peer;  // address, file or node it failed against; empty if none
-    std::string cause; // one sentence for a person
+    std::string peer;  // address, file or node that the step failed with; empty if none
+    std::string cause; // one readable sentence
 
     auto operator<=>(const Error &) const = default;
 
-    // "code=NotFound step=settings.read peer=a.json cause=…", ready for a log line.
+    // For log lines: "code=NotFound step=settings.read peer=a.json cause=…".
     std::string describe() const;
     Error withStep(std::string newStep) const;
     Error withPeer(std::string newPeer) const;
--- a/src/state/Ids.h
+++ b/src/state/Ids.h
@@ -1,4 +1,4 @@
-// Strong names: a ClientAccountId can't be passed where an EndpointId is wanted.
+// Strongly typed ids: a ClientAccountId can't be passed where an EndpointId is expected.
 #pragma once
 
 #include <compare>
@@ -9,7 +9,7 @@
 
 namespace lavenderthread::state {
 
-// A string that belongs to one kind of thing. Ordered and hashable.
+// A string id of one kind of object. Ordered and hashable.
 template <typename Tag>
 class StrongId
 {
@@ -33,7 +33,7 @@
     std::string text;
 };
 
-using VmId = StrongId<struct VmIdTag>; // one process of the system, stable over restarts
+using VmId = StrongId<struct VmIdTag>; // one process of the system; stable across restarts
 using EndpointId = StrongId<struct EndpointIdTag>; // one engine or plain service replica
 using ClientAccountId = StrongId<struct ClientAccountIdTag>;
 using WorkClass = StrongId<struct WorkClassTag>; // "narrative", "review", "posting", …
--- a/src/state/TableRow.h
+++ b/src/state/TableRow.h
@@ -1,4 +1,5 @@
-// One row of the operators' table: what a client account may claim of the fleet for one work class.
+// One row of the operators' table: the limits and the share of the fleet that a client account has
+// for one work class.
 #pragma once
 
 #include "state/Ids.h"
@@ -9,7 +10,7 @@
 
 namespace lavenderthread::state {
 
-// Key of a row; one row a key.
+// Unique key of a row.
 struct TableKey
 {
     ClientAccountId account;
@@ -24,19 +25,19 @@
     }
 };
 
-// Immutable; edits make a new row with a higher version. 0 as a limit means "no limit of its own".
+// Immutable; an edit creates a new row with a higher version. A limit of 0 means that the row sets
+// no limit of its own.
 struct TableRow
 {
     TableKey key;
-    std::uint32_t weight = 1; // share among rows with a backlog, 1 to 10 000
-    std::uint32_t fleetShareMilli =
-            1000;                    // ceiling on the share of the fleet, thousandths, 1 to 1000
-    std::uint32_t inFlightLimit = 0; // requests at once over all entries
-    std::uint64_t tokensPerSecondLimit = 0;      // prompt and output tokens over all entries
-    std::uint32_t deadlineMilliseconds = 60'000; // for requests that name none; 1 to 86 400 000
-    std::uint8_t priority = 5;                   // 0 goes first, 9 last
+    std::uint32_t weight = 1;               // share among backlogged rows, 1 to 10 000
+    std::uint32_t fleetShareMilli = 1000;   // maximum share of the fleet in thousandths, 1 to 1000
+    std::uint32_t inFlightLimit = 0;        // concurrent requests over all entries
+    std::uint64_t tokensPerSecondLimit = 0; // prompt and output tokens a second over all entries
+    std::uint32_t deadlineMilliseconds = 60'000; // for requests without a deadline; 1 to 86 400 000
+    std::uint8_t priority = 5;                   // 0 (highest) to 9 (lowest)
     std::uint64_t version =
-            0; // log index of the edit that made the row; 0 only before it is stored
+            0; // log index of the edit that created the row; 0 only before it is stored
 
     auto operator<=>(const TableRow &) const = default;
 
--- a/src/state/Time.h
+++ b/src/state/Time.h
@@ -1,4 +1,4 @@
-// Time as the state machines see it: a number that the driver passes in. No clock is read here.
+// Time types of the state machines: the driver passes the time in, and no clock is read here.
 #pragma once
 
 #include <chrono>
@@ -8,8 +8,8 @@
 
 using Duration = std::chrono::microseconds;
 
-// The monotonic time line of one process. It has no now(): drivers convert from their clock, tests
-// and benches make time up.
+// Monotonic clock type of one process. It has no now(): drivers convert from their own clock, tests
+// and benchmarks use simulated time.
 struct Timeline
 {
     using rep = std::int64_t;
@@ -22,7 +22,7 @@
 // Monotonic; comparable only within one process.
 using Instant = std::chrono::time_point<Timeline, Duration>;
 
-// Milliseconds since 1970 in UTC; for people and records, never for decisions between processes.
+// Milliseconds since 1970 in UTC; for display and records, never for decisions between processes.
 using WallTime = std::chrono::time_point<std::chrono::system_clock, std::chrono::milliseconds>;
 
 } // namespace lavenderthread::state
--- a/src/state/control/Claim.h
+++ b/src/state/control/Claim.h
@@ -1,4 +1,4 @@
-// A claim on a non-idempotent request: the right of one attempt to run it, and what came of it.
+// A claim on a non-idempotent request: the right of one attempt to run it, and the outcome.
 #pragma once
 
 #include "state/Ids.h"
@@ -15,8 +15,9 @@
 
 namespace lavenderthread::state::control {
 
-// SHA-256 cut to 128 bits. Not a fast hash: callers choose the text, and one who could make two
-// keys meet would be told of another's request.
+// SHA-256 truncated to 128 bits. A fast, non-cryptographic hash is not safe here: callers choose
+// the text, and a caller who found a collision would receive the outcome of another caller's
+// request.
 struct Digest
 {
     std::uint64_t high = 0;
@@ -32,7 +33,7 @@
     }
 };
 
-// Which request: account and idempotency key, as one digest so that a claim stays small.
+// Identifies a request: one digest of account and idempotency key, which keeps claims small.
 struct ClaimId
 {
     Digest digest;
@@ -47,7 +48,7 @@
     }
 };
 
-// Which attempt holds it. Two attempts never share all three.
+// Identifies the attempt that holds a claim. No two attempts have the same three values.
 struct ClaimHolder
 {
     VmId entry;
@@ -64,20 +65,20 @@
 };
 
 enum class ClaimState : std::uint8_t {
-    Held,       // taken; not one byte may be sent before Dispatched is committed
-    Dispatched, // the holder may have sent it; runs at most this once
+    Held,       // taken; no byte may be sent before Dispatched is committed
+    Dispatched, // the holder may have sent the request; it runs at most this once
     Finished,   // ran; the result is kept for resends
-    Unknown,    // the holder was lost, or its time passed, after dispatch
-    Released,   // did not run and never will under that attempt; another attempt may take it
+    Unknown,    // the holder was lost, or its deadline passed, after dispatch
+    Released,   // this attempt did not run and never will; another attempt may take the claim
 };
 
 struct ClaimResult
 {
-    std::uint16_t status = 0; // HTTP status that the endpoint gave
+    std::uint16_t status = 0; // HTTP status of the endpoint's answer
     std::string contentType;
     std::string body;
-    bool bodyKept =
-            true; // false: too large to keep; a resend is told that it ran, without the body
+    bool bodyKept = true; // false: the body was too large to keep; a resend learns that it ran,
+                          // without the body
 
     auto operator<=>(const ClaimResult &) const = default;
 
@@ -88,8 +89,8 @@
     }
 };
 
-// Control time: the sum of the steps that leaders committed. It never runs ahead of real time, so a
-// claim lives at least as long as promised, whatever any VM's wall clock says.
+// Control time: the sum of the time steps that leaders committed. It never runs ahead of real time,
+// so a claim lives at least as long as promised, independent of the wall clock of any VM.
 using ControlTime = Duration;
 
 struct Claim
@@ -99,10 +100,10 @@
     Digest body; // of the request's method, path and body
     ClaimHolder holder;
     ClaimState state = ClaimState::Held;
-    ControlTime openUntil{}; // Held is released, Dispatched becomes Unknown
-    ControlTime keepUntil{}; // forgotten after this; only set once it is decided
+    ControlTime openUntil{}; // then Held becomes Released, and Dispatched becomes Unknown
+    ControlTime keepUntil{}; // removed after this; only set once the claim is decided
     std::optional<ClaimResult> result;
-    // Released attempts of this key, the latest last: a late copy of their commands is refused.
+    // Released attempts of this key, oldest first: a late copy of their commands is refused.
     std::vector<ClaimHolder> formerHolders;
 
     auto operator<=>(const Claim &) const = default;
@@ -122,6 +123,6 @@
 {
     std::size_t operator()(const lavenderthread::state::control::ClaimId &id) const noexcept
     {
-        return id.digest.low; // already uniform
+        return id.digest.low; // a digest is already uniformly distributed
     }
 };
--- a/src/state/control/ClaimLedger.cpp
+++ b/src/state/control/ClaimLedger.cpp
@@ -1,5 +1,5 @@
-// Transitions of a claim: Held -> Dispatched -> Finished or Unknown, Held -> Released -> Held by
-// another attempt. Nothing leads from Dispatched back to Held or Released.
+// Transitions of a claim: Held -> Dispatched -> Finished or Unknown, Unknown -> Finished,
+// Held -> Released -> Held by another attempt. Dispatched never returns to Held or Released.
 #include "state/control/ClaimLedger.h"
 
 #include <openssl/sha.h>
@@ -12,7 +12,7 @@
 
 namespace {
 
-// The Claim itself, its node and bucket in the map, its place in the set or queue of expiry.
+// The Claim itself, its node and bucket in the map, and its node in an expiry set.
 constexpr std::size_t fixedClaimBytes = sizeof(Claim) + 160;
 
 bool isOpen(ClaimState state)
@@ -25,7 +25,7 @@
     return {verdict, claim.holder, claim.result};
 }
 
-ClaimVerdict verdictForOther(ClaimState state)
+ClaimVerdict verdictForOtherAttempt(ClaimState state)
 {
     switch (state) {
     case ClaimState::Held:
@@ -40,19 +40,19 @@
     return ClaimVerdict::OutcomeUnknown;
 }
 
-// The oldest gives way: a copy that is late by so many attempts can only hold the key for a while,
-// since its sender has long ended and sends nothing.
+// Drops the oldest holder. A copy of its command that arrives after so many later attempts can only
+// block the key for a while: its sender has long ended and sends no request.
 std::vector<ClaimHolder> formerHoldersAfter(const Claim &released)
 {
-    constexpr std::size_t attemptsRemembered = 8;
+    constexpr std::size_t maximumFormerHolders = 8;
     std::vector<ClaimHolder> former = released.formerHolders;
     former.push_back(released.holder);
-    if (former.size() > attemptsRemembered)
+    if (former.size() > maximumFormerHolders)
         former.erase(former.begin());
     return former;
 }
 
-// Of the holder's own resent Take, whose first answer was lost.
+// Verdict for a TakeClaim that the holder itself resends because the first answer was lost.
 ClaimVerdict verdictForHolder(ClaimState state)
 {
     switch (state) {
@@ -83,7 +83,7 @@
 
 ClaimId ClaimId::of(const ClientAccountId &account, std::string_view idempotencyKey)
 {
-    // The account's length goes first, so that account and key can't be shifted into each other.
+    // The length prefix keeps different pairs of account and key from giving the same text.
     std::string text = std::to_string(account.value().size()) + ":" + account.value();
     text.append(idempotencyKey);
     return {Digest::of(text)};
@@ -115,20 +115,20 @@
     std::vector<ClaimHolder> former;
     if (found != this->claims.end()) {
         const Claim &claim = found->second;
-        // A released claim binds nobody to its body: that request never ran.
+        // After a release another body is allowed: the released request never ran.
         if (claim.state != ClaimState::Released && claim.body != command.body)
             return {ClaimVerdict::OtherBody, claim.holder, std::nullopt};
         if (claim.holder == command.holder)
             return answer(verdictForHolder(claim.state), claim);
         if (claim.state != ClaimState::Released)
-            return answer(verdictForOther(claim.state), claim);
+            return answer(verdictForOtherAttempt(claim.state), claim);
         former = formerHoldersAfter(claim);
         if (std::find(former.begin(), former.end(), command.holder) != former.end())
             return answer(ClaimVerdict::TooLate, claim);
         this->erase(command.id);
     } else if (!this->hasRoomFor(command.account)) {
-        // Refusing a new claim tells its caller "not run", which is true; forgetting a live one
-        // could let a request run twice.
+        // Refusing a new claim is safe: its caller is told, correctly, that the request did not
+        // run. Evicting a live claim could let a request run twice.
         return {ClaimVerdict::Full, {}, std::nullopt};
     }
     const Duration timeLeft =
@@ -164,8 +164,8 @@
     if (held == nullptr)
         return this->notHolder(command.id);
     Claim &claim = *held;
-    // A resent mark whose first answer was lost is granted again: the holder sends only once, after
-    // the first answer that it gets.
+    // A DispatchClaim that is resent because its first answer was lost is granted again: the holder
+    // sends the request only once, after the first answer that it receives.
     if (!isOpen(claim.state))
         return answer(ClaimVerdict::TooLate, claim);
     claim.state = ClaimState::Dispatched;
@@ -194,8 +194,8 @@
         return answer(ClaimVerdict::TooLate, claim);
     if (claim.state == ClaimState::Finished)
         return answer(ClaimVerdict::Granted, claim);
-    // An entry given up too early may still bring its answer: from Unknown to Finished only adds
-    // knowledge.
+    // An entry that was declared lost too early may still deliver its result. The transition from
+    // Unknown to Finished is safe, since it only adds information.
     if (command.result) {
         this->keepResult(claim, *command.result);
         this->decide(claim, ClaimState::Finished);
@@ -286,7 +286,7 @@
 
 void ClaimLedger::erase(const ClaimId &wanted)
 {
-    const ClaimId id = wanted; // `wanted` may live in what is erased here
+    const ClaimId id = wanted; // `wanted` may refer to memory that is freed here
     const Claim &claim = this->claims.at(id);
     this->usedBytes -= claimBytes(claim);
     this->unlist(claim);
@@ -314,8 +314,8 @@
 
 void ClaimLedger::settle(Claim &claim)
 {
-    // Held is certain not to run: its holder sends nothing before Dispatched is committed, and
-    // that is refused from here on.
+    // A Held claim certainly never runs: its holder sends nothing before Dispatched is committed,
+    // and from here on DispatchClaim is refused.
     this->decide(claim,
                  claim.state == ClaimState::Held ? ClaimState::Released : ClaimState::Unknown);
 }
--- a/src/state/control/Commands.h
+++ b/src/state/control/Commands.h
@@ -1,4 +1,4 @@
-// Everything that goes through the replicated log, as typed commands and their answers.
+// The commands of the replicated log and their answers.
 #pragma once
 
 #include "state/Error.h"
@@ -17,13 +17,14 @@
 
 namespace lavenderthread::state::control {
 
-// Identity of an operator's command: a resend carries the same three, and gets the first answer.
+// Identifies an operator's command. A resend has the same operator, request id and digest, and gets
+// the first answer.
 struct OperatorStamp
 {
     OperatorId operatorId;
     std::string requestId; // chosen by the operator's client
-    Digest digest;         // of the action's encoding, without the time
-    WallTime at;           // for the record only
+    Digest digest;         // of the encoded action, without the time
+    WallTime at;           // only for records and messages
 
     auto operator<=>(const OperatorStamp &) const = default;
 
@@ -34,7 +35,7 @@
     }
 };
 
-// All edits or none.
+// Applies all edits or none.
 struct EditRows
 {
     std::vector<table::RowEdit> edits;
@@ -46,7 +47,7 @@
     }
 };
 
-// Puts or removes one record of the catalog if its version is still the expected one (0: absent).
+// Stores or removes one catalog record if its version equals the expected one (0: absent).
 template <typename Record>
 struct PutRecord
 {
@@ -104,7 +105,7 @@
     }
 };
 
-// By the order planner of the leader.
+// Sent by the leader's order planner.
 struct RecordOrderProgress
 {
     std::uint64_t orderId = 0;
@@ -133,7 +134,7 @@
     }
 };
 
-// By the holder, before the first byte goes to an endpoint.
+// Sent by the holder before it sends the first byte to an endpoint.
 struct DispatchClaim
 {
     ClaimId id;
@@ -146,7 +147,7 @@
     }
 };
 
-// By the holder, only while it is not dispatched.
+// Sent by the holder; granted only before dispatch.
 struct ReleaseClaim
 {
     ClaimId id;
@@ -159,7 +160,7 @@
     }
 };
 
-// By the holder: the endpoint's answer, or none when it can't tell whether it ran.
+// Sent by the holder: the endpoint's answer, or no result if it is unknown whether the request ran.
 struct FinishClaim
 {
     ClaimId id;
@@ -173,8 +174,8 @@
     }
 };
 
-// By the leader once membership has given an entry up, or has seen it restart: settles the claims
-// of every incarnation up to this one.
+// Sent by the leader when membership has declared an entry dead or has seen it restart. Settles the
+// claims of every incarnation up to and including this one.
 struct EntryLost
 {
     VmId entry;
@@ -187,7 +188,7 @@
     }
 };
 
-// By the leader about once a second: the time on its monotonic clock since its last step.
+// Sent by the leader about once a second: time on its monotonic clock since the last such command.
 struct AdvanceTime
 {
     Duration elapsed{};
@@ -199,8 +200,8 @@
     }
 };
 
-// Puts the configuration in force if its version is higher than the one held; else it changes
-// nothing and is accepted all the same, so that operators may send it again after a lost answer.
+// Replaces the configuration if the new version is higher than the current one. Otherwise it
+// changes nothing and is accepted too, so that operators can resend it after a lost answer.
 struct ReplaceConfiguration
 {
     ConfigurationDocument document;
@@ -216,7 +217,7 @@
         std::variant<OperatorCommand, RecordOrderProgress, TakeClaim, DispatchClaim, ReleaseClaim,
                      FinishClaim, EntryLost, AdvanceTime, ReplaceConfiguration>;
 
-// The command changed the state (or, as a resend, had done so before).
+// The command changed the state, or is the resend of a command that did.
 struct Accepted
 {
     std::uint64_t version = 0; // log index of the change; for SubmitOrder also the order's id
@@ -229,12 +230,12 @@
     }
 };
 
-// Who won, for the loser of a race.
+// The earlier conflicting command, reported to the operator whose command is refused.
 struct RaceWinner
 {
     OperatorId operatorId;
     WallTime at;
-    std::uint64_t version = 0; // what the next try has to expect
+    std::uint64_t version = 0; // the version that the next attempt has to expect
     auto operator<=>(const RaceWinner &) const = default;
     template <typename Archive>
     void serialize(Archive &archive)
@@ -265,14 +266,14 @@
     OutcomeUnknown, // another attempt may have run it
     OtherBody,      // the key was used with another body
     NotHolder,      // this attempt does not hold the claim (any more)
-    TooLate,        // release or dispatch in a state that no longer allows it
-    Full,           // no room; nothing was taken
+    TooLate,        // the claim's state no longer allows the command
+    Full,           // a limit on claims is reached; no claim was taken
 };
 
 struct ClaimAnswer
 {
     ClaimVerdict verdict = ClaimVerdict::NotHolder;
-    ClaimHolder holder; // of the claim as it stands; empty if there is none
+    ClaimHolder holder; // present holder of the claim; empty if there is no claim
     std::optional<ClaimResult> result;
     auto operator<=>(const ClaimAnswer &) const = default;
     template <typename Archive>
--- a/src/state/control/ControlState.cpp
+++ b/src/state/control/ControlState.cpp
@@ -1,4 +1,4 @@
-// Checks a command whole before it changes anything: a refused command leaves no trace but the
+// Checks a command completely before it changes anything: a refused command leaves nothing but the
 // remembered answer.
 #include "state/control/ControlState.h"
 
@@ -54,7 +54,7 @@
     return record;
 }
 
-Answer asResend(Answer answer)
+Answer markAsResend(Answer answer)
 {
     if (auto *accepted = std::get_if<Accepted>(&answer))
         accepted->resend = true;
@@ -124,8 +124,8 @@
     return Accepted{position.index};
 }
 
-// Two operators may send one version with different content: the first one committed stays, and
-// the other is told the version that is in force, which is the same number.
+// Two operators may send the same version with different content: the first one committed stays in
+// force, and the other operator gets the version in force, which is the same number.
 Answer ControlState::replaceConfiguration(const ConfigurationDocument &document)
 {
     if (document.version > this->current.configuration.version) {
@@ -145,7 +145,7 @@
     if (known != this->requests.end()) {
         const OperatorStamp &first = known->second.stamp;
         if (first.digest == stamp.digest)
-            return asResend(known->second.answer);
+            return markAsResend(known->second.answer);
         return Refused{makeError(ErrorCode::Conflict, "control.apply",
                                  "request id \"" + stamp.requestId
                                          + "\" was used before with other content"),
@@ -384,16 +384,17 @@
     }
 }
 
-// Each configuration replaces the one before as a whole. Kept, a hundred of 100 KB each would fill
-// the memory of a member, and an entry that is behind would be sent all of them.
+// Each configuration replaces the previous one as a whole. If older ones were kept, a hundred of
+// 100 KB each would fill a member's memory, and an entry that is behind would be sent all of them.
 void ControlState::forgetOlderConfigurations()
 {
     for (FeedDelta &delta : this->feed)
         this->feedSize -= std::erase_if(delta.changes, isConfiguration);
 }
 
-// Bounded: a resend that comes after its request was forgotten fails the compare-and-set, since the
-// row's version has moved on; a repeated order asks for what already is.
+// The number of answers is bounded. A resend that arrives after its answer was evicted fails the
+// compare-and-set, since the row's version has changed; a repeated order requests a state that is
+// already reached.
 void ControlState::remember(const OperatorStamp &stamp, const Answer &answer)
 {
     const RequestKey key{stamp.operatorId, stamp.requestId};
--- a/src/state/control/ControlState.h
+++ b/src/state/control/ControlState.h
@@ -1,5 +1,5 @@
-// The replicated control state: applies committed commands in the order of the log. Deterministic,
-// and the only writer of table, catalog, orders and claims.
+// The replicated control state: applies committed commands in log order. It is deterministic, and
+// the only writer of table, catalog, orders and claims.
 #pragma once
 
 #include "state/control/ClaimLedger.h"
@@ -19,7 +19,7 @@
 
 namespace lavenderthread::state::control {
 
-// Who changed what, when.
+// History record of one change: who changed what, and when.
 struct ChangeRecord
 {
     std::uint64_t version = 0;
@@ -37,7 +37,7 @@
     }
 };
 
-// First answer to an operator's request, for its resends.
+// The first answer to an operator's request; repeated for resends.
 struct RememberedRequest
 {
     OperatorStamp stamp;
@@ -52,7 +52,7 @@
     }
 };
 
-// The state as plain data, for snapshots. Equal states give equal images.
+// The state as plain data, for snapshots. Equal states have equal images.
 struct ControlImage
 {
     std::uint64_t appliedIndex = 0;
@@ -74,7 +74,8 @@
     }
 };
 
-// Rules of the replicated state: the same on every member, hence constants and not settings.
+// Limits of the replicated state. All members must use the same values, so they are constants and
+// not settings.
 struct ControlLimits
 {
     ClaimLimits claims;
@@ -83,7 +84,7 @@
     std::size_t requestsRemembered = 10'000; // five days of changes at the planned size
     std::size_t changesRemembered = 10'000;
     std::size_t feedChanges =
-            50'000; // kept for entries that are behind; older ones get a whole view
+            50'000; // kept for entries that are behind; an entry further behind gets a whole view
 };
 
 class ControlState
@@ -92,7 +93,7 @@
     explicit ControlState(ControlLimits limits = {});
     ControlState(ControlLimits limits, ControlImage image);
 
-    // Once for each committed command, in the order of the log.
+    // Call once for each committed command, in log order.
     Answer apply(const log::LogPosition &position, const Command &command);
 
     const ControlView &view() const { return this->current; }
@@ -101,14 +102,14 @@
     const std::deque<ChangeRecord> &history() const { return this->changes; }
     std::uint64_t appliedIndex() const { return this->lastIndex; }
 
-    // What an entry at `version` lacks; empty if it is up to date. A whole view (from = 0) if the
-    // changes are no longer kept, or if `version` is none that this state ever had.
+    // The changes after `version`; empty if it is current. A whole view (from = 0) if the changes
+    // are no longer kept, or if this state never had `version`.
     std::vector<FeedPage> changesSince(std::uint64_t version) const;
 
-    // Equal for equal states.
+    // Images of equal states are equal.
     ControlImage image() const;
-    // The same with the claims in any order: the quick copy under which commands wait. Sorting and
-    // encoding it (protocol::encodeControlImage) is for another thread.
+    // Like image(), but with the claims in unspecified order. Commands wait during this copy, so it
+    // is kept fast; sorting and encoding (protocol::encodeControlImage) belong on another thread.
     ControlImage copyImage() const;
 
 private:
@@ -118,7 +119,7 @@
         std::uint64_t to = 0;
         std::vector<FeedChange> changes;
     };
-    // Changes that a command makes, gathered before the first of them is carried out.
+    // The changes of one command, collected before any of them is applied.
     struct Draft
     {
         OperatorStamp stamp;
@@ -133,7 +134,7 @@
     Answer replaceConfiguration(const ConfigurationDocument &document);
     Answer applyOperator(const OperatorCommand &command);
     Result<void> draft(const EditRows &action, Draft &draft, std::optional<RaceWinner> &winner);
-    // `kind` begins the subject of errors and of the history: "service ".
+    // `kind` is the prefix of the subject in errors and in the history, such as "service ".
     template <typename Record>
     Result<void> draftNamed(const PutRecord<Record> &action, const char *kind, const Record *known,
                             Draft &draft, std::optional<RaceWinner> &winner);
@@ -164,11 +165,11 @@
     OrderBook orderBook;
     ClaimLedger claimLedger;
     std::map<RequestKey, RememberedRequest> requests;
-    std::deque<RequestKey> requestOrder; // exactly the keys of requests, oldest first
+    std::deque<RequestKey> requestOrder; // exactly the keys of `requests`, oldest first
     std::deque<ChangeRecord> changes;
-    // Not part of the image: a member that restarts serves whole views until changes come.
-    std::deque<FeedDelta> feed; // each one's from is the to of the one before
-    std::size_t feedSize = 0;   // changes over all of feed
+    // Not part of the image: after a restart a member serves whole views until new changes arrive.
+    std::deque<FeedDelta> feed; // the `from` of each delta is the `to` of the previous one
+    std::size_t feedSize = 0;   // number of changes in all deltas of `feed`
 };
 
 } // namespace lavenderthread::state::control
--- a/src/state/control/ControlView.cpp
+++ b/src/state/control/ControlView.cpp
@@ -1,4 +1,4 @@
-// Applies changes to a view, and cuts them into pages.
+// Applies changes to a view, and splits them into pages.
 #include "state/control/ControlView.h"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 
 namespace {
 
-// One overload a kind of change.
+// One overload for each kind of change.
 struct ChangeApplier
 {
     ControlView &view;
@@ -82,7 +82,8 @@
 
 ControlView ControlView::fromChanges(const std::vector<FeedChange> &changes, std::uint64_t version)
 {
-    // Rows and accounts are by far the most, and all at once they need no copy of a chunk each.
+    // Rows and accounts are by far the most numerous records. Adding them all at once avoids
+    // copying a chunk for each.
     std::vector<table::StoredRow> rows;
     std::vector<table::ClientAccount> accounts;
     std::vector<FeedChange> others;
--- a/src/state/control/ControlView.h
+++ b/src/state/control/ControlView.h
@@ -1,6 +1,6 @@
-// What of the control state every entry needs: table, catalog and drained endpoints, as one
-// immutable value of one version, and the changes that carry a view from one version to the next.
-// Control members and entries apply the same changes by the same function, so they can't drift.
+// The part of the control state that every entry needs: table, catalog, drained endpoints and
+// configuration as one immutable, versioned value, and the changes between two versions. Control
+// members and entries apply the same changes by the same function, so their views can't diverge.
 #pragma once
 
 #include "state/Ids.h"
@@ -15,7 +15,7 @@
 
 namespace lavenderthread::state::control {
 
-// Whether operators want an endpoint to get no new work.
+// Whether operators have drained an endpoint, so that it gets no new work.
 struct DrainMark
 {
     EndpointId endpoint;
@@ -36,11 +36,11 @@
     const EndpointId &operator()(const DrainMark &mark) const { return mark.endpoint; }
 };
 
-// The relay configuration as operators sent it, whole. The replicated state keeps the text and
-// compares versions; what the text means is decoded where it is used.
+// The complete relay configuration as operators sent it. The replicated state stores the text and
+// compares versions; the text is decoded where it is used.
 struct ConfigurationDocument
 {
-    std::uint64_t version = 0; // the operators' own; 0: none was accepted yet
+    std::uint64_t version = 0; // set by the operators; 0: none was accepted yet
     std::string text;
 
     auto operator<=>(const ConfigurationDocument &) const = default;
@@ -52,33 +52,33 @@
     }
 };
 
-// A record put, or a key whose record is removed.
+// A record to store, or the key of a record to remove.
 using FeedChange = std::variant<table::StoredRow, TableKey, table::ClientAccount, ClientAccountId,
                                 table::Service, ServiceName, table::ModelVersion, ModelName,
                                 DrainMark, ConfigurationDocument>;
 
 struct ControlView
 {
-    std::uint64_t version = 0; // log index of the last change; never goes down
+    std::uint64_t version = 0; // log index of the last change; never decreases
     table::Table table;
     table::Catalog catalog;
     table::PersistentMap<EndpointId, DrainMark, DrainMarkKey> drained; // drained ones only
-    ConfigurationDocument configuration; // its version never goes down
+    ConfigurationDocument configuration; // its version never decreases
 
     bool isDrained(const EndpointId &endpoint) const
     {
         return this->drained.find(endpoint) != nullptr;
     }
     ControlView with(const std::vector<FeedChange> &changes, std::uint64_t newVersion) const;
-    // Changes that build this view from an empty one.
+    // The changes that build this view from an empty one.
     std::vector<FeedChange> asChanges() const;
     static ControlView fromChanges(const std::vector<FeedChange> &changes, std::uint64_t version);
 
     bool operator==(const ControlView &) const = default;
 };
 
-// Changes from one version of the view to another, or (from = 0) a whole view; large ones come in
-// pages of one `to`.
+// Changes from one version of the view to another, or a whole view (from = 0). A large set of
+// changes is split into several pages with the same `to`.
 struct FeedPage
 {
     std::uint64_t from = 0;
@@ -96,7 +96,7 @@
     }
 };
 
-// Keeps every encoded page well under the largest message between processes.
+// Keeps every encoded page well below the maximum size of a message between processes.
 constexpr std::size_t changesOfOnePage = 5'000;
 
 std::vector<FeedPage> makePages(std::uint64_t from, std::uint64_t to,
--- a/src/state/control/Order.h
+++ b/src/state/control/Order.h
@@ -1,4 +1,4 @@
-// Operators' plain orders and what is known of their execution.
+// Operators' orders and the known progress of their execution.
 #pragma once
 
 #include "state/Ids.h"
@@ -15,8 +15,8 @@
 
 enum class OrderKind : std::uint8_t { Drain, Undrain, Load, Unload, Stop, Role };
 
-// What an operator asks for. Load is declarative when it names a count in place of endpoints: keep
-// the model on that many engines. Unload without endpoints means everywhere, and ends such a Load.
+// What an operator requests. A Load with a count instead of endpoints is declarative: it keeps the
+// model on that many engines. An Unload without endpoints applies everywhere, and ends such a Load.
 struct OrderSpec
 {
     OrderKind kind = OrderKind::Drain;
@@ -35,10 +35,10 @@
 };
 
 enum class EndpointOrderState : std::uint8_t {
-    Sent,       // handed to the endpoint, or about to be; the outcome is not known yet
-    Applied,    // seen in the endpoint's own state
-    Failed,     // the endpoint refused it for good
-    Superseded, // a later order rules this endpoint
+    Sent,       // sent to the endpoint, or about to be; the outcome is not known yet
+    Applied,    // observed in the endpoint's own state
+    Failed,     // the endpoint refused it permanently
+    Superseded, // a later order applies to this endpoint
 };
 
 struct EndpointOrderProgress
@@ -57,10 +57,10 @@
 };
 
 enum class OrderState : std::uint8_t {
-    Open,       // being carried out, or standing
-    Done,       // every named endpoint has it
-    Failed,     // done with, but some endpoint failed
-    Superseded, // a later order took its place
+    Open,       // in progress, or standing
+    Done,       // applied on every named endpoint
+    Failed,     // settled on every named endpoint, failed on at least one
+    Superseded, // replaced by a later order, at least on some endpoint
 };
 
 struct Order
@@ -71,9 +71,9 @@
     OrderSpec spec;
     OrderState state = OrderState::Open;
     std::map<EndpointId, EndpointOrderProgress> progress;
-    std::set<EndpointId> excluded; // of a standing order: ruled by later orders that name them
+    std::set<EndpointId> excluded; // of a standing order: endpoints that later orders name
 
-    // Names no endpoints; stays open and is kept up until another takes its place.
+    // A standing order names no endpoints; it stays in effect until another one replaces it.
     bool isStanding() const { return this->spec.endpoints.empty(); }
     auto operator<=>(const Order &) const = default;
 
--- a/src/state/control/OrderBook.cpp
+++ b/src/state/control/OrderBook.cpp
@@ -1,5 +1,6 @@
-// Which order rules which endpoint. Two orders are about the same thing if both are about draining,
-// both about one model's place, or both about the role; of these the later one rules.
+// Decides which order applies to which endpoint. Two orders have the same subject if both drain or
+// undrain, both load or unload the same model, or both set the role; the later one supersedes the
+// earlier one.
 #include "state/control/OrderBook.h"
 
 #include "state/table/Columns.h"
@@ -10,26 +11,26 @@
 
 namespace {
 
-bool aboutDraining(OrderKind kind)
+bool isDrainOrder(OrderKind kind)
 {
     return kind == OrderKind::Drain || kind == OrderKind::Undrain;
 }
 
-bool aboutModels(OrderKind kind)
+bool isModelOrder(OrderKind kind)
 {
     return kind == OrderKind::Load || kind == OrderKind::Unload;
 }
 
-bool aboutTheSame(const OrderSpec &left, const OrderSpec &right)
+bool haveSameSubject(const OrderSpec &left, const OrderSpec &right)
 {
-    if (aboutDraining(left.kind))
-        return aboutDraining(right.kind);
-    if (aboutModels(left.kind))
-        return aboutModels(right.kind) && left.model == right.model;
+    if (isDrainOrder(left.kind))
+        return isDrainOrder(right.kind);
+    if (isModelOrder(left.kind))
+        return isModelOrder(right.kind) && left.model == right.model;
     return left.kind == right.kind && left.kind == OrderKind::Role;
 }
 
-bool names(const OrderSpec &spec, const EndpointId &endpoint)
+bool namesEndpoint(const OrderSpec &spec, const EndpointId &endpoint)
 {
     return std::find(spec.endpoints.begin(), spec.endpoints.end(), endpoint)
            != spec.endpoints.end();
@@ -75,7 +76,7 @@
         if (!table::isPlainId(endpoint.value()))
             return refuse("bad endpoint id \"" + endpoint.value() + "\"");
     }
-    if (aboutModels(spec.kind))
+    if (isModelOrder(spec.kind))
         return checkModelOrder(spec, catalog);
     if (spec.endpoints.empty())
         return refuse("at least one endpoint is needed");
@@ -87,7 +88,7 @@
 void OrderBook::submit(Order order)
 {
     for (auto &[id, earlier] : this->orders) {
-        if (earlier.state == OrderState::Open && aboutTheSame(earlier.spec, order.spec))
+        if (earlier.state == OrderState::Open && haveSameSubject(earlier.spec, order.spec))
             this->giveWay(earlier, order);
     }
     this->orders.emplace(order.id, std::move(order));
@@ -105,7 +106,7 @@
         return;
     }
     for (const EndpointId &endpoint : earlier.spec.endpoints) {
-        if (!names(later.spec, endpoint))
+        if (!namesEndpoint(later.spec, endpoint))
             continue;
         EndpointOrderProgress &progress = earlier.progress[endpoint];
         if (progress.state == EndpointOrderState::Sent)
--- a/src/state/control/OrderBook.h
+++ b/src/state/control/OrderBook.h
@@ -1,4 +1,5 @@
-// Orders in the replicated state: which are open, how far each is, and which later one rules.
+// Operators' orders in the replicated state: which are open, the progress of each, and which are
+// superseded by later ones.
 #pragma once
 
 #include "state/Error.h"
@@ -22,9 +23,11 @@
     // Error: InvalidArgument, step "order.submit".
     static Result<void> check(const OrderSpec &spec, const table::Catalog &catalog);
 
-    // Takes an order that passed check(); ids ascend. Earlier open orders give way where it rules.
+    // Adds an order that passed check(); ids must ascend. It supersedes earlier open orders on the
+    // same subject, for the endpoints that it names (all endpoints for a standing order).
     void submit(Order order);
-    // Ignored for an order that is not open, and for a step back from a settled endpoint.
+    // Ignored if the order is not open, or if the endpoint of a non-standing order is already
+    // settled.
     void record(const RecordOrderProgress &command);
 
     const Order *find(std::uint64_t id) const;
@@ -36,10 +39,10 @@
     void closeIfSettled(Order &order);
     void forgetOldest();
 
-    std::map<std::uint64_t, Order> orders; // open ones, and the last closed ones
+    std::map<std::uint64_t, Order> orders; // open ones and the most recent closed ones
 };
 
-// Closed orders that are kept for the operators to look at.
+// Closed orders that are kept for operators to inspect.
 constexpr std::size_t closedOrdersKept = 1'000;
 constexpr std::size_t maximumEndpointsOfOrder = 2'000;
 
--- a/src/state/log/LogEntry.h
+++ b/src/state/log/LogEntry.h
@@ -1,5 +1,5 @@
-// Values of the replicated log, shared by consensus (which orders them), the durable log (which
-// keeps them) and the control state (which applies them).
+// Value types of the replicated log, shared by consensus (which orders entries), the durable log
+// (which stores them) and the control state (which applies them).
 #pragma once
 
 #include <compare>
@@ -8,12 +8,12 @@
 
 namespace lavenderthread::state::log {
 
-// Total order over the log. Also the fencing number that an order to an endpoint carries: a higher
-// term, then a higher index, is newer.
+// Position in the log's total order: by term, then by index. Orders to endpoints carry it as their
+// fencing number; the higher position is the newer one.
 struct LogPosition
 {
     std::uint64_t term = 0;
-    std::uint64_t index = 0; // 1 is the first entry; 0 stands before it
+    std::uint64_t index = 0; // 1 is the first entry; 0 is the position before it
 
     auto operator<=>(const LogPosition &) const = default;
 
@@ -25,7 +25,7 @@
 };
 
 enum class LogEntryKind : std::uint8_t {
-    Noop,          // a new leader's first entry; commits what earlier terms left
+    Noop,          // a new leader's first entry; commits the uncommitted entries of earlier terms
     Command,       // payload is an encoded control command
     Configuration, // payload is an encoded set of members
 };
@@ -45,7 +45,8 @@
     }
 };
 
-// What a member must have synced before it answers a vote or an append of that term.
+// The state that a member must have synced to disk before it answers a vote or an append request of
+// that term.
 struct HardState
 {
     std::uint64_t currentTerm = 0;
@@ -60,7 +61,7 @@
     }
 };
 
-// A whole control state as of `last`; replaces every entry up to it.
+// The complete control state as of `last`; replaces all entries up to and including `last`.
 struct LogSnapshot
 {
     LogPosition last;
--- a/src/state/routes/EngineProfile.cpp
+++ b/src/state/routes/EngineProfile.cpp
@@ -1,4 +1,4 @@
-// The batch model's two sums.
+// Computes prefill time and decode time by the batch model.
 #include "state/routes/EngineProfile.h"
 
 namespace lavenderthread::state::routes {
@@ -13,10 +13,10 @@
 
 double prefillSeconds(const EngineProfile &profile, double promptTokens)
 {
-    const double reading =
+    const double tokenSeconds =
             profile.prefillTokensPerSecond > 0 ? promptTokens / profile.prefillTokensPerSecond : 0;
     const double millionPairs = promptTokens * promptTokens / 2 / million;
-    return reading + millionPairs * profile.pairsMs / msPerSecond;
+    return tokenSeconds + millionPairs * profile.pairsMs / msPerSecond;
 }
 
 double decodePassSeconds(const EngineProfile &profile, double sequences, double contextTokens)
--- a/src/state/routes/Route.h
+++ b/src/state/routes/Route.h
@@ -1,5 +1,5 @@
-// What operators configure about the calls that are relayed as they come: routes by host and path,
-// the services behind them, and the keys of client accounts.
+// Operators' configuration for calls that are relayed unchanged: routes by host and path, the
+// services behind them, and the keys of client accounts.
 #pragma once
 
 #include "state/Ids.h"
@@ -34,16 +34,16 @@
     std::string host;
     std::string pathPrefix; // begins and ends with a slash
     CallKind kind = CallKind::NonIdempotent;
-    bool resumable = false; // of a stream: a second endpoint may go on behind any event
+    bool resumable = false; // of a stream: a second endpoint may resume after any event
     bool anonymous = false; // needs no account key
-    std::chrono::milliseconds timeout{};           // the caller is answered by then
+    std::chrono::milliseconds timeout{};           // the caller is answered within this
     std::chrono::milliseconds firstAnswerTarget{}; // answer, or first event of a stream
     std::chrono::milliseconds pauseTarget{};       // between events of a stream; 0 if none is set
     std::uint8_t priority = 0;                     // 0 is the highest
-    std::uint32_t attempts = 1;                    // endpoints that one request may be sent to
+    std::uint32_t attempts = 1; // maximum number of endpoints that one request is sent to
     std::vector<ServiceShare> services;
 
-    // A second endpoint may be given the request although the first may have run it.
+    // Whether a second endpoint may get the request although the first one may have run it.
     bool isRepeatable() const
     {
         return this->kind == CallKind::Idempotent
@@ -56,7 +56,7 @@
 {
     ServiceName name;
     std::string healthPath;
-    std::uint32_t connections = 0;       // that one endpoint accepts from all callers together
+    std::uint32_t connections = 0;       // that one endpoint accepts from all callers in total
     std::optional<EngineProfile> engine; // absent: a plain service
 
     auto operator<=>(const ServiceProfile &) const = default;
@@ -66,12 +66,12 @@
 {
     ClientAccountId id;
     std::vector<std::string> keys;
-    std::optional<std::uint8_t> priority; // goes before the route's
+    std::optional<std::uint8_t> priority; // overrides the route's priority
 
     auto operator<=>(const RouteAccount &) const = default;
 };
 
-// What a caller may send, and how long it may take.
+// Limits on the size and the duration of a caller's request.
 struct CallerLimits
 {
     std::uint32_t headerBytes = 16U << 10U;
--- a/src/state/routes/RouteTable.cpp
+++ b/src/state/routes/RouteTable.cpp
@@ -1,4 +1,4 @@
-// Checks a configuration whole, and indexes it for the request path.
+// Validates a complete configuration, and indexes it for the request path.
 #include "state/routes/RouteTable.h"
 
 #include <algorithm>
@@ -117,7 +117,7 @@
         if (left < 0)
             return share.service;
     }
-    // Rounding may leave a rest: the last share that may be drawn at all takes it.
+    // Rounding may leave a remainder: it goes to the last share with a positive weight.
     const auto last =
             std::ranges::find_if(shares.rbegin(), shares.rend(),
                                  [](const ServiceShare &each) { return each.weight > 0; });
--- a/src/state/routes/RouteTable.h
+++ b/src/state/routes/RouteTable.h
@@ -1,4 +1,4 @@
-// One checked version of the relay configuration, read by every request through a snapshot.
+// One validated version of the relay configuration; every request reads it through a snapshot.
 #pragma once
 
 #include "state/Error.h"
@@ -10,7 +10,7 @@
 
 namespace lavenderthread::state::routes {
 
-// As decoded, before it is checked.
+// The decoded configuration before validation.
 struct RouteTableDraft
 {
     std::uint64_t version = 0;
@@ -20,15 +20,15 @@
     CallerLimits limits;
 };
 
-// Immutable.
+// Immutable and validated; finds routes, services and accounts for the request path.
 class RouteTable
 {
 public:
-    // Version 0, no routes: what an entry has before it knows any configuration.
+    // Version 0 without routes: used by an entry that has no configuration yet.
     RouteTable() = default;
 
     // Error: InvalidArgument, step "routes.check", for a route to an unknown service, two routes
-    // of one host and prefix, weights that add up to nothing, a timeout of nothing, two accounts
+    // of one host and prefix, weights with a sum of 0, a timeout that is not positive, two accounts
     // with one key, or two services of one name.
     static Result<RouteTable> create(RouteTableDraft draft);
 
@@ -38,7 +38,7 @@
     const CallerLimits &limits() const { return this->draft.limits; }
     bool needsKeys() const { return this->draft.accounts.has_value(); }
 
-    // The route of that host whose prefix is the longest that the path begins with; null if none.
+    // The route of that host with the longest prefix that matches the path; null if there is none.
     const Route *match(std::string_view host, std::string_view path) const;
     // Null if no account holds the key.
     const RouteAccount *accountOfKey(std::string_view key) const;
@@ -56,7 +56,8 @@
     std::unordered_map<std::string, std::size_t> accountOfKeyIndex;
 };
 
-// The share that `draw`, evenly spread over [0, 1), falls into. `shares` have a positive sum.
+// Weighted choice: the service of the share that `draw`, uniform over [0, 1), falls into. The sum
+// of the weights must be positive.
 const ServiceName &pickService(const std::vector<ServiceShare> &shares, double draw);
 
 } // namespace lavenderthread::state::routes
--- a/src/state/table/Catalog.cpp
+++ b/src/state/table/Catalog.cpp
@@ -1,4 +1,4 @@
-// Lookups and copies of the catalog.
+// Looks up records of the catalog and creates changed copies.
 #include "state/table/Catalog.h"
 
 #include <openssl/sha.h>
@@ -14,7 +14,7 @@
         return false;
     if (!path.starts_with(this->pathPrefix))
         return false;
-    // "/postings" covers "/postings/7" and "/postings?x=1", not "/postings-archive".
+    // "/postings" matches "/postings/7" and "/postings?x=1", not "/postings-archive".
     const std::string_view rest = path.substr(this->pathPrefix.size());
     return rest.empty() || this->pathPrefix.ends_with('/') || rest.front() == '/'
            || rest.front() == '?';
--- a/src/state/table/Catalog.h
+++ b/src/state/table/Catalog.h
@@ -1,4 +1,4 @@
-// What the operators keep beside the table: client accounts, services and model versions.
+// Operators' records beside the table: client accounts, services and model versions.
 #pragma once
 
 #include "state/Ids.h"
@@ -12,7 +12,7 @@
 
 namespace lavenderthread::state::table {
 
-// Immutable. Every record's version is the log index of the edit that made it.
+// Immutable. The version of every record is the log index of the edit that created it.
 struct ClientAccount
 {
     ClientAccountId id;
@@ -29,7 +29,7 @@
     }
 };
 
-// Calls of a plain service that may not be repeated.
+// Calls of a plain service that must not be repeated.
 struct CallPattern
 {
     std::string method;     // "POST"; "*" matches every method
@@ -65,7 +65,7 @@
 {
     ModelName name;
     ServiceName service;
-    std::uint64_t weightBytes = 0; // what a load reads from the weight store
+    std::uint64_t weightBytes = 0; // bytes that a load reads from the weight store
     std::uint64_t version = 0;
 
     auto operator<=>(const ModelVersion &) const = default;
@@ -97,7 +97,7 @@
     const ModelName &operator()(const ModelVersion &model) const { return model.name; }
 };
 
-// Immutable value, copied as cheaply as the table.
+// Immutable value; a copy is as cheap as one of the table.
 class Catalog
 {
 public:
@@ -109,11 +109,11 @@
     const Services &services() const { return this->servicesByName; }
     const Models &models() const { return this->modelsByName; }
 
-    // The account whose callers present this key; null if there is none.
+    // The account with this key; null if there is none.
     const ClientAccount *accountOfBearerKey(std::string_view bearerKey) const;
     const ClientAccount *accountOfBearerKeyHash(const std::string &hash) const;
 
-    // A catalog of just these accounts; much quicker for many than one copy for each.
+    // A catalog of only these accounts; for many accounts much faster than repeated withAccount().
     static Catalog ofAccounts(const std::vector<ClientAccount> &accounts);
     Catalog withAccount(const ClientAccount &account) const;
     Catalog withoutAccount(const ClientAccountId &id) const;
@@ -133,8 +133,8 @@
     Models modelsByName;
 };
 
-// SHA-256 as 64 hex digits: keys themselves are never stored, so a copied snapshot opens no
-// account.
+// SHA-256 as 64 hex digits. Keys themselves are never stored, so a copied snapshot gives no access
+// to an account.
 std::string bearerKeyHash(std::string_view bearerKey);
 
 } // namespace lavenderthread::state::table
--- a/src/state/table/Columns.cpp
+++ b/src/state/table/Columns.cpp
@@ -1,4 +1,4 @@
-// The list of columns and the checks of their cells.
+// The list of columns and the validation of their cells.
 #include "state/table/Columns.h"
 
 #include <algorithm>
@@ -10,13 +10,13 @@
 
 namespace {
 
-constexpr std::uint64_t largestWeight = 10'000;
+constexpr std::uint64_t maximumWeight = 10'000;
 constexpr std::uint64_t wholeFleetMilli = 1'000;
-constexpr std::uint64_t largestInFlight = 1'000'000;
-constexpr std::uint64_t largestTokensPerSecond = 1'000'000'000;
-constexpr std::uint64_t dayMilliseconds = 86'400'000;
+constexpr std::uint64_t maximumInFlight = 1'000'000;
+constexpr std::uint64_t maximumTokensPerSecond = 1'000'000'000;
+constexpr std::uint64_t millisecondsPerDay = 86'400'000;
 constexpr std::uint64_t lowestPriority = 9;
-constexpr std::size_t largestId = 128;
+constexpr std::size_t maximumIdLength = 128;
 
 template <auto Member>
 std::uint64_t getMember(const TableRow &row)
@@ -31,18 +31,18 @@
 }
 
 template <auto Member>
-constexpr Column makeColumn(std::string_view name, std::uint64_t smallest, std::uint64_t largest)
+constexpr Column makeColumn(std::string_view name, std::uint64_t minimum, std::uint64_t maximum)
 {
-    return {name, smallest, largest, &getMember<Member>, &setMember<Member>};
+    return {name, minimum, maximum, &getMember<Member>, &setMember<Member>};
 }
 
 constexpr std::array allColumns = {
-        makeColumn<&TableRow::weight>("weight", 1, largestWeight),
+        makeColumn<&TableRow::weight>("weight", 1, maximumWeight),
         makeColumn<&TableRow::fleetShareMilli>("fleet_share_milli", 1, wholeFleetMilli),
-        makeColumn<&TableRow::inFlightLimit>("in_flight_limit", 0, largestInFlight),
+        makeColumn<&TableRow::inFlightLimit>("in_flight_limit", 0, maximumInFlight),
         makeColumn<&TableRow::tokensPerSecondLimit>("tokens_per_second_limit", 0,
-                                                    largestTokensPerSecond),
-        makeColumn<&TableRow::deadlineMilliseconds>("deadline_ms", 1, dayMilliseconds),
+                                                    maximumTokensPerSecond),
+        makeColumn<&TableRow::deadlineMilliseconds>("deadline_ms", 1, millisecondsPerDay),
         makeColumn<&TableRow::priority>("priority", 0, lowestPriority),
 };
 
@@ -128,7 +128,7 @@
 {
     constexpr std::string_view allowed =
             "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789._-";
-    return !text.empty() && text.size() <= largestId
+    return !text.empty() && text.size() <= maximumIdLength
            && text.find_first_not_of(allowed) == std::string_view::npos;
 }
 
--- a/src/state/table/Columns.h
+++ b/src/state/table/Columns.h
@@ -1,5 +1,5 @@
-// Columns of the table with their types and allowed ranges: the one place that decides which cells
-// are good, for the replicated state, for imports and for the command line alike.
+// Columns of the table with their types and allowed ranges: the only place that validates cells,
+// for the replicated state, for imports and for the command line.
 #pragma once
 
 #include "state/Error.h"
@@ -14,7 +14,8 @@
 
 namespace lavenderthread::state::table {
 
-// A whole-number column beside the key. Get and set convert to and from the row's own type.
+// An integer column that is not part of the key. Get and set convert to and from the row's own
+// type.
 struct Column
 {
     std::string_view name;
@@ -27,10 +28,10 @@
 std::span<const Column> columns();
 const Column *findColumn(std::string_view name);
 
-// One bad cell, as a person is told of it.
+// One invalid cell, with the texts of its error message.
 struct CellProblem
 {
-    std::string row;    // "account/work_class", or "line N" if the key itself is bad
+    std::string row;    // "account/work_class", or "line N" if the key itself is invalid
     std::string column; // name as in the header
     std::string value;
     std::string allowed;
@@ -39,7 +40,7 @@
     std::string describe() const;
 };
 
-// Every bad cell of the row; empty if it may be stored.
+// Every invalid cell of the row; empty if the row may be stored.
 std::vector<CellProblem> checkRow(const TableRow &row);
 // Error: InvalidArgument, step "table.check"; its cause lists every problem.
 Error problemsAsError(const std::vector<CellProblem> &problems);
@@ -47,7 +48,7 @@
 // Copy of the row with one cell set from text. Error: InvalidArgument, step "table.cell".
 Result<TableRow> withCell(const TableRow &row, std::string_view column, std::string_view text);
 
-// Ids that operators give: 1 to 128 characters of A-Z a-z 0-9 . _ -
+// Whether the text is a valid id for operators to assign: 1 to 128 characters of A-Z a-z 0-9 . _ -
 bool isPlainId(std::string_view text);
 std::string describeKey(const TableKey &key);
 
--- a/src/state/table/PersistentMap.h
+++ b/src/state/table/PersistentMap.h
@@ -1,5 +1,5 @@
-// Ordered map whose copies share their memory: a copy is one reference count, an edit copies one
-// chunk and the list of chunks. Writers build the next value from the current one and publish it by
+// Ordered map whose copies share memory: a copy increments one reference count, an edit copies one
+// chunk and the list of chunks. Writers build the next map from the current one and publish it by
 // read-copy-update while readers keep the old one.
 #pragma once
 
@@ -11,7 +11,7 @@
 
 namespace lavenderthread::state::table {
 
-// KeyOf is a function object that gives the key of a value by reference.
+// KeyOf is a function object that returns the key of a value by reference.
 template <typename Key, typename Value, typename KeyOf>
 class PersistentMap
 {
@@ -20,7 +20,7 @@
 
     PersistentMap() = default;
 
-    // Of two values with one key the later one stays.
+    // Of several values with the same key the last one is kept.
     static PersistentMap fromValues(std::vector<Value> values)
     {
         std::stable_sort(values.begin(), values.end(), [](const Value &left, const Value &right) {
@@ -42,7 +42,7 @@
         return map;
     }
 
-    // Lives as long as this map or a copy that still holds the value; null if absent.
+    // Null if absent. The value is valid as long as this map or a copy that still contains it.
     const Value *find(const Key &key) const
     {
         const std::size_t place = this->chunkOf(key);
@@ -127,11 +127,11 @@
 
 private:
     using Chunk = std::vector<Item>;
-    // Chunks are never changed once a map that holds them has been returned.
+    // Chunks are immutable once a map that contains them has been returned.
     using ChunkList = std::vector<std::shared_ptr<Chunk>>;
 
     static constexpr std::size_t largestChunk = 128;
-    static constexpr std::size_t fillOfNewChunks = 96; // leaves room before the first split
+    static constexpr std::size_t fillOfNewChunks = 96; // room for inserts before a split
 
     static typename Chunk::const_iterator lowerBound(const Chunk &chunk, const Key &key)
     {
@@ -140,7 +140,7 @@
                 [](const Item &item, const Key &wanted) { return KeyOf()(*item) < wanted; });
     }
 
-    // The first chunk whose last key is not below `key`; the number of chunks if there is none.
+    // Index of the first chunk whose last key is not below `key`; the number of chunks if none.
     std::size_t chunkOf(const Key &key) const
     {
         const auto found = std::lower_bound(this->chunks->begin(), this->chunks->end(), key,
@@ -163,7 +163,7 @@
 
     // Never null; no chunk in it is empty; keys ascend within and across chunks.
     std::shared_ptr<const ChunkList> chunks = std::make_shared<const ChunkList>();
-    std::size_t count = 0; // values over all chunks
+    std::size_t count = 0; // number of values in all chunks
 };
 
 } // namespace lavenderthread::state::table
--- a/src/state/table/RowEdit.h
+++ b/src/state/table/RowEdit.h
@@ -1,4 +1,4 @@
-// One edit of one row, guarded by the version that its author saw.
+// One edit of one row, applied only if the row still has the version that its author read.
 #pragma once
 
 #include "state/TableRow.h"
@@ -10,9 +10,9 @@
 
 struct RowEdit
 {
-    TableRow row;                      // its own version member is ignored
+    TableRow row;                      // its version member is ignored
     std::uint64_t expectedVersion = 0; // 0: the row must not exist yet
-    bool remove = false;               // only row.key counts
+    bool remove = false;               // then only row.key is used
 
     auto operator<=>(const RowEdit &) const = default;
 
--- a/src/state/table/Table.h
+++ b/src/state/table/Table.h
@@ -1,5 +1,5 @@
-// The operators' table as an immutable value, cheap to copy and to publish at ten thousands of
-// rows.
+// The operators' table as an immutable value that is cheap to copy and to publish with tens of
+// thousands of rows.
 #pragma once
 
 #include "state/Ids.h"
@@ -11,8 +11,8 @@
 
 namespace lavenderthread::state::table {
 
-// A row with its last editor, so that the loser of a race is told by whom and when however old the
-// winning edit is.
+// A row with its last editor, so that the author of a conflicting edit learns who changed the row
+// and when, however old that change is.
 struct StoredRow
 {
     TableRow row;
--- a/src/state/table/TableDifference.h
+++ b/src/state/table/TableDifference.h
@@ -1,4 +1,4 @@
-// What an import would change: the answer of a dry run, and the edits that carry it out.
+// The changes that an import makes: the result of a dry run, and the edits that apply them.
 #pragma once
 
 #include "state/table/RowEdit.h"
@@ -28,8 +28,7 @@
     RowChangeKind kind = RowChangeKind::Changed;
     TableKey key;
     std::vector<CellChange> cells; // every column of an added row; empty for a removed one
-    bool stale =
-            false; // the file names another version than the row has: applying would be refused
+    bool stale = false; // the file's version differs from the row's: the edit would be refused
 
     auto operator<=>(const RowChange &) const = default;
 };
@@ -40,11 +39,11 @@
     std::vector<RowEdit> edits;     // the same changes, ready for a command
     std::size_t unchanged = 0;
 
-    // One line a change, for a person: "~ acme/review weight 1 -> 5".
+    // Readable text with one line for each change: "~ acme/review weight 1 -> 5".
     std::string describe() const;
 };
 
-enum class MissingRows : std::uint8_t { Keep, Remove }; // rows that the import does not name
+enum class MissingRows : std::uint8_t { Keep, Remove }; // rows that are absent from the import
 
 // Edits expect the file's versions if it has them, else the versions of `current`.
 TableDifference difference(const Table &current, const ImportedRows &imported,
--- a/src/state/table/TableText.cpp
+++ b/src/state/table/TableText.cpp
@@ -1,4 +1,5 @@
-// Readers share one step: cells by column name go over the current row, and each bad cell is noted.
+// Both readers share one step: it applies cells by column name to the current row, and records each
+// invalid cell.
 #include "state/table/TableText.h"
 
 #include <boost/json.hpp>
@@ -13,7 +14,7 @@
 
 namespace json = boost::json;
 
-using Cells = std::map<std::string, std::string>; // column name to text, of one row
+using Cells = std::map<std::string, std::string>; // text of one row's cells by column name
 
 bool isKeyColumn(std::string_view name)
 {
@@ -31,7 +32,7 @@
     return found == cells.end() ? std::string() : found->second;
 }
 
-// Gathers rows and the problems of all of them.
+// Collects the rows and the problems of all rows.
 class RowReader
 {
 public:
@@ -104,24 +105,24 @@
     ImportedRows imported;
 };
 
-// One line's fields; quoted fields may hold commas and doubled quotes, no line breaks.
+// Fields of one line; quoted fields may contain commas and doubled quotes, but no line breaks.
 Result<std::vector<std::string>> splitCsvLine(std::string_view line, std::size_t number)
 {
     std::vector<std::string> fields(1);
     bool quoted = false;
     for (std::size_t index = 0; index < line.size(); ++index) {
-        const char letter = line[index];
+        const char character = line[index];
         const bool doubled =
-                quoted && letter == '"' && index + 1 < line.size() && line[index + 1] == '"';
+                quoted && character == '"' && index + 1 < line.size() && line[index + 1] == '"';
         if (doubled) {
             fields.back().push_back('"');
             ++index;
-        } else if (letter == '"') {
+        } else if (character == '"') {
             quoted = !quoted;
-        } else if (letter == ',' && !quoted) {
+        } else if (character == ',' && !quoted) {
             fields.emplace_back();
         } else {
-            fields.back().push_back(letter);
+            fields.back().push_back(character);
         }
     }
     if (quoted)
--- a/tests/state/AddressTest.cpp
+++ b/tests/state/AddressTest.cpp
@@ -1,4 +1,4 @@
-// Contract of state::Address: what parses, what does not, and the round trip.
+// Tests state::Address: accepted and refused texts, and the round trip.
 #include "state/Address.h"
 
 #include <cppunit/TestFixture.h>
--- a/tests/state/control/ClaimLedgerTest.cpp
+++ b/tests/state/control/ClaimLedgerTest.cpp
@@ -1,4 +1,4 @@
-// Contract of the claim ledger: at most one dispatch a key, whatever is lost, doubled or late.
+// Tests the claim ledger: at most one dispatch per key when commands are lost, duplicated or late.
 #include "state/control/ClaimLedger.h"
 
 #include <cppunit/TestFixture.h>
@@ -43,10 +43,10 @@
     CPPUNIT_TEST(entryLostBeforeDispatch);
     CPPUNIT_TEST(entryLostAfterDispatch);
     CPPUNIT_TEST(restartedEntryKeepsItsNewClaims);
-    CPPUNIT_TEST(namesTheProcessesWithOpenClaims);
-    CPPUNIT_TEST(stalledHolderWakesAfterItsTime);
-    CPPUNIT_TEST(clockLeapForgetsNothing);
-    CPPUNIT_TEST(fullLedgerRefusesAndForgetsNoLiveClaim);
+    CPPUNIT_TEST(listsProcessesWithOpenClaims);
+    CPPUNIT_TEST(stalledHolderIsRefusedAfterDeadline);
+    CPPUNIT_TEST(largeTimeStepExpiresNoClaim);
+    CPPUNIT_TEST(fullLedgerRefusesAndEvictsNoLiveClaim);
     CPPUNIT_TEST(oneAccountLeavesRoomForOthers);
     CPPUNIT_TEST(largeResultIsNotKept);
     CPPUNIT_TEST(snapshotKeepsEverything);
@@ -98,9 +98,9 @@
 
     void entryLostBeforeDispatch()
     {
-        // The caller's entry dies after it took the claim and before it sent anything; the caller
-        // resends elsewhere. The claim is released by the loss, so the resend may run; the dead
-        // entry's own mark, late on its way, is refused.
+        // The caller's entry crashes after it took the claim and before it sent the request; the
+        // caller resends through another entry. EntryLost releases the claim, so the resend may
+        // run; a late DispatchClaim of the crashed entry is refused.
         ClaimLedger ledger;
         ledger.take(takeOf(holder(1)));
         ledger.entryLost({VmId("vm-1"), 1});
@@ -111,8 +111,8 @@
 
     void entryLostAfterDispatch()
     {
-        // The entry dies after it may have sent the request; a resend is told that nobody knows.
-        // Had the entry only been cut off, its late result still turns "unknown" into the answer.
+        // The entry is lost after it may have sent the request; a resend gets OutcomeUnknown. If
+        // the entry was only partitioned, its late result still changes Unknown to Finished.
         ClaimLedger ledger;
         ledger.take(takeOf(holder(1)));
         ledger.dispatch({key, holder(1)});
@@ -125,8 +125,8 @@
 
     void restartedEntryKeepsItsNewClaims()
     {
-        // News of an entry's first life reach the log after its second has begun; only claims of
-        // the first life are settled.
+        // The loss of an entry's first incarnation reaches the log after the second one has
+        // started; only claims of the first incarnation are settled.
         ClaimLedger ledger;
         const ClaimId second = ClaimId::of(acme, "k-2");
         ledger.take(takeOf(holder(1, "vm-1", 1)));
@@ -136,9 +136,9 @@
         CPPUNIT_ASSERT(ledger.find(second)->state == ClaimState::Held);
     }
 
-    // A caller's entry is killed with its claim open. The leader asks who holds open claims, and
-    // settles those of the processes that are gone; then the caller's copy gets the claim.
-    void namesTheProcessesWithOpenClaims()
+    // A caller's entry is killed while its claim is open. The leader looks up the owners of open
+    // claims and settles those of lost processes; then the caller's resend gets the claim.
+    void listsProcessesWithOpenClaims()
     {
         ClaimLedger ledger;
         ledger.take(takeOf(holder(1, "vm-1", 5)));
@@ -151,10 +151,10 @@
         CPPUNIT_ASSERT(ledger.take(takeOf(holder(4, "vm-2", 7))).verdict == ClaimVerdict::Granted);
     }
 
-    void stalledHolderWakesAfterItsTime()
+    void stalledHolderIsRefusedAfterDeadline()
     {
-        // An entry stalls for longer than its request's deadline, wakes and wants to dispatch. Its
-        // mark is refused; one that was dispatched in time is unknown by then.
+        // An entry stalls beyond its request's deadline, resumes and tries to dispatch. Its
+        // DispatchClaim is refused; a claim that was dispatched in time is Unknown by then.
         ClaimLedger ledger;
         const ClaimId sent = ClaimId::of(acme, "k-2");
         ledger.take(takeOf(holder(1)));
@@ -165,10 +165,10 @@
         CPPUNIT_ASSERT(ledger.find(sent)->state == ClaimState::Unknown);
     }
 
-    void clockLeapForgetsNothing()
+    void largeTimeStepExpiresNoClaim()
     {
-        // A leader's step says that a year went by. Taken at its word it would age out every claim,
-        // and a resend would run twice; a step counts ten seconds at most.
+        // A leader's time step claims that a year has passed. If it were trusted, every claim would
+        // expire and a resend would run twice; a step counts as ten seconds at most.
         ClaimLedger ledger;
         ledger.take(takeOf(holder(1)));
         ledger.dispatch({key, holder(1)});
@@ -178,7 +178,7 @@
         CPPUNIT_ASSERT(ledger.take(takeOf(holder(2))).verdict == ClaimVerdict::InProgress);
     }
 
-    void fullLedgerRefusesAndForgetsNoLiveClaim()
+    void fullLedgerRefusesAndEvictsNoLiveClaim()
     {
         ClaimLimits limits;
         limits.claims = 3;
@@ -237,8 +237,9 @@
 
     void randomCommandsDispatchAtMostOnce()
     {
-        // Attempts of many entries race over few keys; commands come doubled, late and in any
-        // order, entries are given up while they still talk. Whoever is granted dispatch may send.
+        // Attempts of many entries race for few keys; commands are duplicated, late and reordered,
+        // and entries are declared lost while they still send commands. Each attempt whose dispatch
+        // is granted may send its request.
         for (std::uint64_t seed = 0; seed < 300; ++seed)
             this->runSchedule(seed);
     }
@@ -249,7 +250,7 @@
         std::mt19937_64 random(seed);
         ClaimLedger ledger;
         std::map<ClaimId, std::set<ClaimHolder>> dispatched;
-        std::map<ClaimId, std::set<ClaimHolder>> toldNotRun;
+        std::map<ClaimId, std::set<ClaimHolder>> reportedNotRun;
         for (int step = 0; step < 300; ++step) {
             const ClaimId id = ClaimId::of(acme, std::to_string(random() % 3));
             const ClaimHolder by =
@@ -265,7 +266,7 @@
                 break;
             case 3:
                 if (ledger.release({id, by}).verdict == ClaimVerdict::Granted)
-                    toldNotRun[id].insert(by);
+                    reportedNotRun[id].insert(by);
                 break;
             case 4:
                 ledger.finish({id, by, posted});
@@ -279,7 +280,7 @@
         }
         for (const auto &[id, holders] : dispatched) {
             CPPUNIT_ASSERT_EQUAL_MESSAGE(std::to_string(seed), std::size_t(1), holders.size());
-            CPPUNIT_ASSERT(!toldNotRun[id].contains(*holders.begin()));
+            CPPUNIT_ASSERT(!reportedNotRun[id].contains(*holders.begin()));
         }
     }
 };
--- a/tests/state/control/ConfigurationTest.cpp
+++ b/tests/state/control/ConfigurationTest.cpp
@@ -1,5 +1,5 @@
-// Contract of the replicated configuration: versions only rise, resends are accepted, races have
-// one winner, and the feed carries the newest document alone.
+// Tests the replicated configuration: versions only increase, resends are accepted, races have one
+// winner, and the feed contains only the newest document.
 #include "state/control/ControlState.h"
 
 #include <cppunit/TestFixture.h>
@@ -28,15 +28,15 @@
 {
     CPPUNIT_TEST_SUITE(ConfigurationTest);
     CPPUNIT_TEST(highestVersionStays);
-    CPPUNIT_TEST(firstOfARaceStays);
-    CPPUNIT_TEST(feedCarriesTheNewestOnly);
-    CPPUNIT_TEST(viewNeverTakesAnOlderOne);
-    CPPUNIT_TEST(imageRestoresIt);
+    CPPUNIT_TEST(firstCommittedStays);
+    CPPUNIT_TEST(feedContainsOnlyTheNewest);
+    CPPUNIT_TEST(viewIgnoresOlderConfiguration);
+    CPPUNIT_TEST(imageRestoresConfiguration);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // An operator sends version 7 and loses the answer, version 9 follows, and 7 is sent again: it
-    // is accepted, since it was accepted before, and 9 stays in force.
+    // The answer to version 7 is lost, version 9 follows, and 7 is resent: it is accepted, since it
+    // was accepted before, and 9 stays in force.
     void highestVersionStays()
     {
         Driver driver;
@@ -46,9 +46,9 @@
         CPPUNIT_ASSERT_EQUAL(std::string("nine"), driver.state.view().configuration.text);
     }
 
-    // Two operators send version 8 with different content to two nodes. The log orders them; the
-    // second one is told 8 and must not replace what some entries have in force already.
-    void firstOfARaceStays()
+    // Two operators send version 8 with different content to two nodes. The second one in the log
+    // gets 8 as its answer and must not replace the document that some entries already use.
+    void firstCommittedStays()
     {
         Driver driver;
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(8), driver.replace(8, "first"));
@@ -56,9 +56,9 @@
         CPPUNIT_ASSERT_EQUAL(std::string("first"), driver.state.view().configuration.text);
     }
 
-    // A storm of documents while an entry is away: kept for it, they would fill the member's
-    // memory, and it needs none but the last.
-    void feedCarriesTheNewestOnly()
+    // Many documents arrive while an entry is disconnected. If all were kept for it, they would
+    // fill the member's memory; the entry needs only the last one.
+    void feedContainsOnlyTheNewest()
     {
         Driver driver;
         driver.replace(1, "one");
@@ -77,14 +77,14 @@
         CPPUNIT_ASSERT_EQUAL(driver.state.view().version, view.version);
     }
 
-    void viewNeverTakesAnOlderOne()
+    void viewIgnoresOlderConfiguration()
     {
         const ControlView newer = ControlView().with({ConfigurationDocument{5, "five"}}, 10);
         const ControlView after = newer.with({ConfigurationDocument{4, "four"}}, 11);
         CPPUNIT_ASSERT_EQUAL(std::string("five"), after.configuration.text);
     }
 
-    void imageRestoresIt()
+    void imageRestoresConfiguration()
     {
         Driver driver;
         driver.replace(3, "three");
--- a/tests/state/control/ControlStateTest.cpp
+++ b/tests/state/control/ControlStateTest.cpp
@@ -1,5 +1,5 @@
-// Contract of the replicated control state: racing and resending operators, all-or-nothing edits,
-// the feed to the entries, orders, and the image of a snapshot.
+// Tests the replicated control state: conflicting and resent edits, all-or-nothing edits, the feed
+// to the entries, orders, and the snapshot image.
 #include "state/control/ControlState.h"
 
 #include <cppunit/TestFixture.h>
@@ -61,22 +61,22 @@
     CPPUNIT_TEST(racingEditsHaveOneWinner);
     CPPUNIT_TEST(resendGetsTheFirstAnswer);
     CPPUNIT_TEST(sameIdWithOtherContentIsAConflict);
-    CPPUNIT_TEST(forgottenResendFailsItsVersion);
+    CPPUNIT_TEST(evictedResendFailsVersionCheck);
     CPPUNIT_TEST(editsAreAllOrNothing);
     CPPUNIT_TEST(refusals);
-    CPPUNIT_TEST(historyTellsWhoWhatAndWhen);
-    CPPUNIT_TEST(feedCarriesEveryVersionForward);
+    CPPUNIT_TEST(historyRecordsWhoWhatAndWhen);
+    CPPUNIT_TEST(feedUpdatesFromEveryVersion);
     CPPUNIT_TEST(wholeViewComesInPages);
-    CPPUNIT_TEST(drainsReachTheView);
-    CPPUNIT_TEST(laterOrdersRule);
+    CPPUNIT_TEST(drainsAppearInTheView);
+    CPPUNIT_TEST(laterOrdersSupersedeEarlierOnes);
     CPPUNIT_TEST(imageRestoresTheSameState);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     void racingEditsHaveOneWinner()
     {
-        // Two operators read version 0, that is no row, and both write. The log orders them; the
-        // first wins and the second is told by whom, when, and which version stands.
+        // Two operators read version 0 (no row) and both write. The first write in the log wins;
+        // the second is refused and gets the winner, its time and the current version.
         Driver driver;
         driver.prepare();
         const Answer first = driver.run("ana", "1", EditRows{{edit("review", 5, 0)}});
@@ -93,8 +93,9 @@
 
     void resendGetsTheFirstAnswer()
     {
-        // The answer to an accepted edit is lost and the operator resends it. Judged afresh it
-        // would lose against its own first copy; it gets the first answer, marked as a resend.
+        // The answer to an accepted edit is lost and the operator resends the edit. If it were
+        // evaluated again, it would conflict with its own first copy; instead it gets the first
+        // answer, marked as a resend.
         Driver driver;
         driver.prepare();
         const EditRows action{{edit("review", 5, 0)}};
@@ -118,7 +119,7 @@
                 driver.run("bob", "1", EditRows{{edit("draft", 6, 0)}}, "six")));
     }
 
-    void forgottenResendFailsItsVersion()
+    void evictedResendFailsVersionCheck()
     {
         ControlLimits limits;
         limits.requestsRemembered = 3;
@@ -156,7 +157,7 @@
                 {EditRows{}, ErrorCode::InvalidArgument},
                 {EditRows{{stranger}}, ErrorCode::InvalidArgument},
                 {EditRows{{edit("x", 1, 0), edit("x", 2, 0)}}, ErrorCode::InvalidArgument},
-                {RemoveAccount{acme, 1}, ErrorCode::Conflict}, // it has a row
+                {RemoveAccount{acme, 1}, ErrorCode::Conflict}, // the account still has a row
                 {RemoveModel{ModelName("v9"), 0}, ErrorCode::NotFound},
                 {PutAccount{{ClientAccountId("b c"), "", "", 0}, 0}, ErrorCode::InvalidArgument},
                 {SubmitOrder{unknownModel}, ErrorCode::InvalidArgument},
@@ -172,7 +173,7 @@
         }
     }
 
-    void historyTellsWhoWhatAndWhen()
+    void historyRecordsWhoWhatAndWhen()
     {
         Driver driver;
         driver.prepare();
@@ -185,10 +186,10 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(4), last.version);
     }
 
-    void feedCarriesEveryVersionForward()
+    void feedUpdatesFromEveryVersion()
     {
-        // Entries stand at every version the state ever had; each gets just the changes it lacks
-        // and ends with the same view.
+        // From every earlier version, an entry gets only the changes that it lacks and ends with
+        // the same view.
         Driver driver;
         std::vector<ControlView> views{driver.state.view()};
         driver.prepare();
@@ -228,7 +229,7 @@
         CPPUNIT_ASSERT(ControlView::fromChanges(all, 3) == driver.state.view());
     }
 
-    void drainsReachTheView()
+    void drainsAppearInTheView()
     {
         Driver driver;
         const EndpointId engine("engine-1");
@@ -239,7 +240,7 @@
         CPPUNIT_ASSERT(driver.state.orders().find(1)->state == OrderState::Superseded);
     }
 
-    void laterOrdersRule()
+    void laterOrdersSupersedeEarlierOnes()
     {
         Driver driver;
         driver.prepare();
--- a/tests/state/routes/RouteTableTest.cpp
+++ b/tests/state/routes/RouteTableTest.cpp
@@ -1,4 +1,4 @@
-// Contract of the route table: which configurations are refused, and which route a path takes.
+// Tests the route table: refused configurations, and the route that a path matches.
 #include "state/routes/RouteTable.h"
 
 #include <cppunit/TestFixture.h>
@@ -38,9 +38,9 @@
 {
     CPPUNIT_TEST_SUITE(RouteTableTest);
     CPPUNIT_TEST(longestPrefixOfTheHostWins);
-    CPPUNIT_TEST(keysLeadToTheirAccount);
-    CPPUNIT_TEST(invalidOnesAreRefused);
-    CPPUNIT_TEST(weightsShareTheDraws);
+    CPPUNIT_TEST(findsAccountByKey);
+    CPPUNIT_TEST(invalidTablesAreRefused);
+    CPPUNIT_TEST(weightsDetermineTheShares);
     CPPUNIT_TEST(onlyResumableStreamsAreRepeatable);
     CPPUNIT_TEST_SUITE_END();
 
@@ -55,7 +55,7 @@
         CPPUNIT_ASSERT(RouteTable().match("host", "/a/x") == nullptr);
     }
 
-    void keysLeadToTheirAccount()
+    void findsAccountByKey()
     {
         const RouteTable table = RouteTable::create(draftOfTwo()).value();
         CPPUNIT_ASSERT(table.needsKeys());
@@ -64,12 +64,12 @@
         CPPUNIT_ASSERT(table.accountOfKey("k9") == nullptr);
     }
 
-    void invalidOnesAreRefused()
+    void invalidTablesAreRefused()
     {
         struct Case
         {
             const char *name;
-            std::function<void(RouteTableDraft &)> spoil;
+            std::function<void(RouteTableDraft &)> invalidate;
         };
         const std::vector<Case> cases = {
                 {"unknown service",
@@ -83,7 +83,7 @@
         };
         for (const Case &each : cases) {
             RouteTableDraft draft = draftOfTwo();
-            each.spoil(draft);
+            each.invalidate(draft);
             const auto table = RouteTable::create(std::move(draft));
             CPPUNIT_ASSERT_MESSAGE(each.name, !table);
             CPPUNIT_ASSERT(table.error().code == ErrorCode::InvalidArgument);
@@ -91,7 +91,7 @@
         CPPUNIT_ASSERT(RouteTable::create(draftOfTwo()).has_value());
     }
 
-    void weightsShareTheDraws()
+    void weightsDetermineTheShares()
     {
         const std::vector<ServiceShare> shares = {
                 {ServiceName("a"), 90}, {ServiceName("b"), 10}, {ServiceName("c"), 0}};
--- a/tests/state/table/TableTest.cpp
+++ b/tests/state/table/TableTest.cpp
@@ -1,5 +1,4 @@
-// Contract of the table: cheap copies that don't disturb each other, typed cells, import, export
-// and the dry run.
+// Tests the table: independent cheap copies, typed cells, import, export and the dry run.
 #include "state/table/Table.h"
 #include "state/table/Catalog.h"
 #include "state/table/Columns.h"
@@ -35,19 +34,19 @@
 class TableTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TableTest);
-    CPPUNIT_TEST(matchesAnOrdinaryMap);
-    CPPUNIT_TEST(olderCopiesStayAsTheyWere);
-    CPPUNIT_TEST(badCellsNameRowColumnAndRange);
+    CPPUNIT_TEST(behavesLikeStdMap);
+    CPPUNIT_TEST(earlierCopiesStayUnchanged);
+    CPPUNIT_TEST(cellErrorsNameRowColumnAndRange);
     CPPUNIT_TEST(csvAndJsonRoundTrip);
-    CPPUNIT_TEST(importTellsEveryBadCell);
-    CPPUNIT_TEST(importRefusesWhatIsNoTable);
-    CPPUNIT_TEST(dryRunGivesTheDifference);
+    CPPUNIT_TEST(importReportsEveryInvalidCell);
+    CPPUNIT_TEST(importRefusesTextWithoutTable);
+    CPPUNIT_TEST(dryRunReturnsTheDifference);
     CPPUNIT_TEST(callPatterns);
-    CPPUNIT_TEST(bearerKeysLeadToTheirAccount);
+    CPPUNIT_TEST(findsAccountByBearerKey);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void matchesAnOrdinaryMap()
+    void behavesLikeStdMap()
     {
         std::mt19937_64 random(1);
         Table table;
@@ -73,7 +72,7 @@
         CPPUNIT_ASSERT(table == Table::fromValues(table.values()));
     }
 
-    void olderCopiesStayAsTheyWere()
+    void earlierCopiesStayUnchanged()
     {
         const Table before = smallTable();
         const Table after = before.with(makeRow("acme", 9)).without(makeRow("bell", 1).row.key);
@@ -83,7 +82,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), after.size());
     }
 
-    void badCellsNameRowColumnAndRange()
+    void cellErrorsNameRowColumnAndRange()
     {
         const TableRow row = makeRow("acme", 1).row;
         const struct
@@ -123,7 +122,7 @@
         }
     }
 
-    void importTellsEveryBadCell()
+    void importReportsEveryInvalidCell()
     {
         const auto imported = importCsv("account,work_class,weight,priority\n"
                                         "acme,review,0,5\n"
@@ -137,7 +136,7 @@
                              imported.value().problems[0].describe());
     }
 
-    void importRefusesWhatIsNoTable()
+    void importRefusesTextWithoutTable()
     {
         for (const char *text :
              {"", "weight\n1\n", "account,work_class,colour\na,b,1\n", "account,work_class\na\n",
@@ -147,7 +146,7 @@
             CPPUNIT_ASSERT_MESSAGE(text, importJson(text, Table()).has_error());
     }
 
-    void dryRunGivesTheDifference()
+    void dryRunReturnsTheDifference()
     {
         const Table table = smallTable();
         const ImportedRows imported =
@@ -174,7 +173,7 @@
         CPPUNIT_ASSERT(!ledger.isNonIdempotent("POST", "/postings-archive"));
     }
 
-    void bearerKeysLeadToTheirAccount()
+    void findsAccountByBearerKey()
     {
         const ClientAccountId acme("acme");
         const Catalog first = Catalog().withAccount({acme, "Acme", bearerKeyHash("k1"), 1});
