--- a/src/protocol/BoundedInputArchive.h
+++ b/src/protocol/BoundedInputArchive.h
@@ -1,6 +1,6 @@
-// cereal input archive over bytes in memory, for the format of cereal's portable binary output on
-// little-endian machines. A container's length is checked against the bytes that are left before
-// anything is allocated for it: with cereal's own archive four flipped bytes of a length make the
+// cereal input archive that reads from memory what cereal's portable binary output archive writes
+// on little-endian machines. A container's length is checked against the remaining bytes before
+// memory is allocated: with cereal's own archive, four corrupted bytes of a length make the
 // receiver allocate and fill gigabytes.
 #pragma once
 
@@ -19,7 +19,7 @@
     : public cereal::InputArchive<BoundedInputArchive, cereal::AllowEmptyClassElision>
 {
 public:
-    // `bytes` has to outlive the archive. Throws cereal::Exception, as all loading does.
+    // `bytes` must outlive the archive. Like all loading functions, throws cereal::Exception.
     explicit BoundedInputArchive(std::string_view bytes)
         : cereal::InputArchive<BoundedInputArchive, cereal::AllowEmptyClassElision>(this)
         , left(bytes)
@@ -50,7 +50,7 @@
     std::string_view left; // not yet read
 };
 
-// cereal finds these by their names.
+// cereal looks these functions up by name.
 // NOLINTBEGIN(readability-identifier-naming)
 template <typename Number,
           std::enable_if_t<std::is_arithmetic_v<Number> && !std::is_same_v<Number, bool>, int> = 0>
@@ -100,7 +100,7 @@
 
 } // namespace lavenderthread::protocol
 
-// The output archive whose format it reads; cereal looks there for enums and other plain types.
+// The corresponding output archive; cereal consults its traits for enums and other plain types.
 template <>
 struct cereal::traits::detail::get_output_from_input<lavenderthread::protocol::BoundedInputArchive>
 {
--- a/src/protocol/Completion.cpp
+++ b/src/protocol/Completion.cpp
@@ -1,4 +1,4 @@
-// Reads completion bodies and engine lines, writes the callers' chunks.
+// Parses completion requests and engine stream lines, and formats the responses to callers.
 #include "protocol/Completion.h"
 
 #include "coordination/routing/PrefixIndex.h"
@@ -19,7 +19,7 @@
     return state::makeError(state::ErrorCode::InvalidArgument, "completion.parse", cause);
 }
 
-// All `content` members of a chat, joined; the engine counts the same way.
+// Concatenates all `content` members of a chat; the engine counts tokens the same way.
 state::Result<std::string> chatPrompt(const json::object &object)
 {
     const json::value *messages = object.if_contains("messages");
--- a/src/protocol/Completion.h
+++ b/src/protocol/Completion.h
@@ -1,5 +1,5 @@
-// The callers' completion requests and answers in the customary JSON: what of them the system needs
-// to know, and the pieces of a streamed answer.
+// Parses the fields of completion requests that scheduling needs, and formats whole and streamed
+// responses, in the JSON of the usual completion APIs.
 #pragma once
 
 #include "state/Error.h"
@@ -14,10 +14,10 @@
 
 enum class CompletionKind { Text, Chat };
 
-// One token is counted for every four bytes of prompt text, rounded up
+// Prompt tokens are estimated as one per four bytes of text, rounded up
 // (docs/contracts/endpoint.md).
 constexpr std::size_t bytesPerToken = 4;
-// Prefixes are compared by blocks of this many tokens.
+// Number of tokens in a block, the unit in which prefixes are compared.
 constexpr std::uint32_t prefixBlockTokens = 256;
 constexpr std::uint32_t defaultOutputTokens = 16;
 constexpr std::uint32_t maximumPromptTokens = 4'000'000;
@@ -30,22 +30,22 @@
     std::uint32_t promptTokens = 0;
     std::uint32_t outputTokens = defaultOutputTokens;
     bool stream = false;
-    // Chained hash of each whole block, as the endpoint contract defines it.
+    // Chained hash of each complete block, as the endpoint contract defines it.
     std::vector<std::uint64_t> prefixBlocks;
 
     bool operator==(const CompletionBody &) const = default;
 };
 
-// Error: InvalidArgument, step "completion.parse", cause names the member.
+// Error: InvalidArgument, step "completion.parse", the cause names the JSON member.
 state::Result<CompletionBody> parseCompletion(CompletionKind kind, std::string_view json);
 
-// The data of one server-sent event: token `offset` of the answer.
+// The data of one server-sent event, which carries token `offset` of the answer.
 std::string completionChunk(CompletionKind kind, const std::string &id, const std::string &model,
                             std::uint64_t offset, std::string_view text);
-// The last event before [DONE].
+// The data of the last event before [DONE].
 std::string completionEnd(CompletionKind kind, const std::string &id, const std::string &model,
                           std::uint64_t total, std::string_view finishReason);
-// The whole answer at once.
+// The body of an answer that is not streamed.
 std::string completionAnswer(const CompletionBody &body, const std::string &id,
                              std::string_view text, std::uint64_t total,
                              std::string_view finishReason);
@@ -54,9 +54,9 @@
 struct EngineLine
 {
     bool done = false;
-    std::uint64_t offset = 0; // of a token line
+    std::uint64_t offset = 0; // of a token line: position of the token
     std::string token;
-    std::uint64_t total = 0; // of the done line
+    std::uint64_t total = 0; // of the done line: number of tokens
     std::string finishReason;
 
     bool operator==(const EngineLine &) const = default;
--- a/src/protocol/ConsensusMessages.cpp
+++ b/src/protocol/ConsensusMessages.cpp
@@ -1,4 +1,4 @@
-// Consensus messages: cereal for the shape, checks of what the shape can't say.
+// Encodes consensus messages with cereal and validates what the types don't guarantee.
 #include "protocol/ConsensusMessages.h"
 
 #include "protocol/Envelope.h"
@@ -23,12 +23,12 @@
 }
 
 template <typename Body>
-bool isSound(const Body & /*body*/)
+bool isValid(const Body & /*body*/)
 {
     return true;
 }
 
-bool isSound(const AppendRequest &request)
+bool isValid(const AppendRequest &request)
 {
     std::uint64_t index = request.previous.index;
     for (const state::log::LogEntry &entry : request.entries) {
@@ -39,7 +39,7 @@
     return true;
 }
 
-bool isSound(const SnapshotPiece &piece)
+bool isValid(const SnapshotPiece &piece)
 {
     return piece.offset <= piece.totalBytes
            && piece.bytes.size() <= piece.totalBytes - piece.offset;
@@ -58,8 +58,8 @@
     if (frame.has_error())
         return frame.error().withStep("consensus.decode");
     const Message &found = frame.value().message;
-    const bool sound = std::visit([](const auto &body) { return isSound(body); }, found.body);
-    if (!isId(found.from) || !isId(found.to) || !sound)
+    const bool valid = std::visit([](const auto &body) { return isValid(body); }, found.body);
+    if (!isId(found.from) || !isId(found.to) || !valid)
         return state::makeError(state::ErrorCode::Corrupt, "consensus.decode", "breaks a bound",
                                 found.from.value().substr(0, maximumIdBytes));
     return frame;
--- a/src/protocol/ConsensusMessages.h
+++ b/src/protocol/ConsensusMessages.h
@@ -1,4 +1,4 @@
-// Codec of the consensus messages, with the bounds that a receiver relies on.
+// Codec for consensus messages; decoding enforces the bounds that receivers rely on.
 #pragma once
 
 #include "coordination/consensus/Messages.h"
@@ -10,8 +10,8 @@
 
 namespace lavenderthread::protocol {
 
-// A message and where its sender takes answers: a newcomer knows no member's address before the
-// leader's first entries have reached it.
+// A message with the address for replies to its sender: a new member doesn't know any other
+// member's address before it has received the leader's first entries.
 struct ConsensusFrame
 {
     state::Address replyTo;
@@ -28,8 +28,8 @@
 
 std::string encodeConsensusFrame(const ConsensusFrame &frame);
 
-// Errors: Unsupported for another version; Corrupt for what does not decode whole, for ids that are
-// empty or too long, and for entries that are not contiguous.
+// Errors: Unsupported for another version; Corrupt for what does not decode completely, for ids
+// that are empty or too long, and for entries that are not contiguous.
 state::Result<ConsensusFrame> decodeConsensusFrame(std::string_view bytes);
 
 } // namespace lavenderthread::protocol
--- a/src/protocol/ControlCalls.cpp
+++ b/src/protocol/ControlCalls.cpp
@@ -1,4 +1,4 @@
-// Calls and replies are sealed under uses of their own, so that one can't be taken for the other.
+// Calls and replies are sealed with different contexts, so that neither is accepted as the other.
 #include "protocol/ControlCalls.h"
 
 #include "protocol/Envelope.h"
--- a/src/protocol/ControlCalls.h
+++ b/src/protocol/ControlCalls.h
@@ -1,5 +1,5 @@
-// Calls of entries to control members: cereal bodies, sealed, carried by POST /v1/peer/control on
-// the member's entry address.
+// Calls that entries send to control members: sealed cereal messages, sent with
+// POST /v1/peer/control to the member's entry address.
 #pragma once
 
 #include "protocol/FeedEncoder.h"
@@ -18,10 +18,10 @@
 
 namespace lavenderthread::protocol {
 
-// Put this command through the log. Commands are made so that sending one again is harmless.
+// Proposes a command for the replicated log. Commands are idempotent, so resending one is safe.
 struct ProposeCall
 {
-    std::string command; // protocol::encodeCommand
+    std::string command; // encoded by protocol::encodeCommand
 
     template <typename Archive>
     void serialize(Archive &archive)
@@ -30,16 +30,20 @@
     }
 };
 
-// What does the entry lack? Counts the entry as having `version` in force.
+// Requests the changes that the entry lacks. The member records that the entry has `version` in
+// force.
 struct FeedCall
 {
     state::VmId entry;
     std::uint64_t version = 0;
-    std::uint64_t configuration = 0; // the one in force there that a patch may apply to; 0: none
-    // With `pages`: if the entry lacks nothing, the answer is held back until it does, for this
-    // long at most. A change then reaches all entries within a round trip, without a poll for each.
+    // Version of the entry's configuration in force, to which a patch may apply; 0: none.
+    std::uint64_t configuration = 0;
+    // Long poll, with `pages` only: while the entry lacks nothing, the reply is delayed by at most
+    // this many milliseconds. A change then reaches all entries within one round trip without
+    // polling.
     std::uint32_t waitMs = 0;
-    // Wants what it lacks, from any member that has it; else only to hear which version is newest.
+    // True: request the missing changes from any member that has them. False: request the newest
+    // version number only.
     bool pages = true;
 
     template <typename Archive>
@@ -49,7 +53,7 @@
     }
 };
 
-// On how many entries is the version in force?
+// Asks on how many entries the version is in force.
 struct EnforcementCall
 {
     std::uint64_t version = 0;
@@ -61,7 +65,7 @@
     }
 };
 
-// Which configuration is the newest, as a quorum confirms after the call has come?
+// Requests the newest configuration, which a quorum confirms after the call has arrived.
 struct ConfigurationCall
 {
     template <typename Archive>
@@ -74,7 +78,7 @@
 struct ProposeReply
 {
     bool committed = false;
-    std::string answer; // protocol::encodeAnswer, if committed
+    std::string answer; // encoded by protocol::encodeAnswer, if committed
     state::log::LogPosition position;
 
     template <typename Archive>
@@ -88,7 +92,7 @@
 {
     bool confirmed = false; // this member leads and knows that nothing newer is committed
     std::uint64_t version = 0;
-    FeedContent content; // no pages if the entry lacks nothing, or wants none
+    FeedContent content; // without pages if the entry lacks nothing or requested none
 
     template <typename Archive>
     void serialize(Archive &archive)
@@ -126,7 +130,7 @@
 struct ControlReply
 {
     std::variant<ProposeReply, FeedReply, EnforcementReply, ConfigurationReply> body;
-    state::Address leader; // consensus address of the leader as far as known; port 0 if not
+    state::Address leader; // consensus address of the leader; port 0 if unknown
 
     template <typename Archive>
     void serialize(Archive &archive)
--- a/src/protocol/ControlCommands.cpp
+++ b/src/protocol/ControlCommands.cpp
@@ -1,4 +1,4 @@
-// All cereal instantiations of the control types stand in this one file.
+// All cereal instantiations for the control types are in this file.
 #include "protocol/ControlCommands.h"
 
 #include "protocol/BoundedInputArchive.h"
@@ -17,7 +17,7 @@
 namespace control = state::control;
 
 template <typename Value>
-state::Result<Value> decodeWhole(std::string_view bytes, const char *step)
+state::Result<Value> decodeWithStep(std::string_view bytes, const char *step)
 {
     state::Result<Value> value = decode<Value>(bytes);
     if (!value)
@@ -25,8 +25,8 @@
     return value;
 }
 
-// Configurations are compressed wherever they are written: each goes to every member and to every
-// disk, and uncompressed two of them filled the log that a control VM can hold.
+// Configurations are always stored compressed: each one is replicated to every member and written
+// to every disk, and two uncompressed ones filled the log of a control VM.
 void compress(control::ConfigurationDocument &document)
 {
     document.text = makeTextPatch({}, document.text);
@@ -62,7 +62,7 @@
 
 state::Result<control::Command> decodeCommand(std::string_view bytes)
 {
-    auto command = decodeWhole<control::Command>(bytes, "command.decode");
+    auto command = decodeWithStep<control::Command>(bytes, "command.decode");
     if (!command)
         return command;
     if (auto *replace = std::get_if<control::ReplaceConfiguration>(&command.value())) {
@@ -78,7 +78,7 @@
 
 state::Result<control::Answer> decodeAnswer(std::string_view bytes)
 {
-    return decodeWhole<control::Answer>(bytes, "answer.decode");
+    return decodeWithStep<control::Answer>(bytes, "answer.decode");
 }
 
 std::string encodeFeedPage(const control::FeedPage &page)
@@ -88,7 +88,7 @@
 
 state::Result<control::FeedPage> decodeFeedPage(std::string_view bytes)
 {
-    return decodeWhole<control::FeedPage>(bytes, "feed.decode");
+    return decodeWithStep<control::FeedPage>(bytes, "feed.decode");
 }
 
 std::string encodeControlImage(control::ControlImage image)
--- a/src/protocol/ControlCommands.h
+++ b/src/protocol/ControlCommands.h
@@ -1,5 +1,5 @@
-// Codec of the control commands (payload of log entries), of their answers, of feed pages and of
-// the snapshot's bytes.
+// Codec for control commands (the payload of log entries), their answers, feed pages and control
+// state snapshots.
 #pragma once
 
 #include "state/Error.h"
@@ -10,7 +10,7 @@
 
 namespace lavenderthread::protocol {
 
-// A snapshot at the largest sizes that ControlLimits allows stays below.
+// Exceeds the size of any snapshot within ControlLimits.
 constexpr std::size_t maximumSnapshotBytes = 512U << 20U;
 
 std::string encodeCommand(const state::control::Command &command);
@@ -22,13 +22,14 @@
 std::string encodeFeedPage(const state::control::FeedPage &page);
 state::Result<state::control::FeedPage> decodeFeedPage(std::string_view bytes);
 
-// Equal bytes for equal states, whatever the order of the image's claims.
+// Equal states give equal bytes, regardless of the order of the image's claims.
 std::string encodeControlImage(state::control::ControlImage image);
 std::string encodeControlState(const state::control::ControlState &state);
 state::Result<state::control::ControlState>
 decodeControlState(std::string_view bytes, const state::control::ControlLimits &limits = {});
 
-// The operator's identity of an action, with the digest that a resend has to match.
+// Stamps an operator's action with the request's identity and the digest that a resend has to
+// match.
 state::control::OperatorCommand makeOperatorCommand(state::OperatorId operatorId,
                                                     std::string requestId, state::WallTime at,
                                                     state::control::OperatorAction action);
--- a/src/protocol/EndpointJson.cpp
+++ b/src/protocol/EndpointJson.cpp
@@ -1,4 +1,4 @@
-// Reads what endpoints send; every member is checked for presence, type and range.
+// Parses the calls of endpoints and checks every JSON member for presence, type and range.
 #include "protocol/EndpointJson.h"
 
 #include <boost/json/parse.hpp>
@@ -13,11 +13,11 @@
 
 namespace {
 
-constexpr std::size_t longestId = 128;
-constexpr std::size_t mostModels = 256;
-constexpr std::size_t mostCacheEvents = 65'536;
+constexpr std::size_t maxIdLength = 128;
+constexpr std::size_t maxModels = 256;
+constexpr std::size_t maxCacheEvents = 65'536;
 
-// Reads members one after the other and keeps the first problem.
+// Reads the members of a JSON object and keeps the first error.
 class MemberReader
 {
 public:
@@ -33,7 +33,7 @@
     std::string text(const char *name)
     {
         const json::value *value = this->member(name);
-        if (value == nullptr || !value->is_string() || value->get_string().size() > longestId) {
+        if (value == nullptr || !value->is_string() || value->get_string().size() > maxIdLength) {
             this->fail(std::string(name) + ": expected text of up to 128 characters");
             return {};
         }
@@ -81,12 +81,13 @@
         return value->get_bool();
     }
 
-    const json::array &list(const char *name, std::size_t most)
+    const json::array &list(const char *name, std::size_t maxElements)
     {
         static const json::array none;
         const json::value *value = this->member(name);
-        if (value == nullptr || !value->is_array() || value->get_array().size() > most) {
-            this->fail(std::string(name) + ": expected a list of up to " + std::to_string(most));
+        if (value == nullptr || !value->is_array() || value->get_array().size() > maxElements) {
+            this->fail(std::string(name) + ": expected a list of up to "
+                       + std::to_string(maxElements));
             return none;
         }
         return value->get_array();
@@ -160,7 +161,7 @@
             kind == "engine" ? state::EndpointKind::Engine : state::EndpointKind::PlainService;
     endpoint.failureDomain = state::FailureDomain(reader.text("failure_domain"));
     endpoint.service = state::ServiceName(reader.text("service"));
-    for (const json::value &model : reader.list("models", mostModels)) {
+    for (const json::value &model : reader.list("models", maxModels)) {
         if (model.is_string())
             endpoint.models.emplace_back(std::string(model.get_string()));
         else
@@ -199,7 +200,7 @@
     CacheEventBatch batch;
     batch.incarnation = reader.count("incarnation");
     batch.firstSequence = reader.count("first_sequence");
-    for (const json::value &value : reader.list("events", mostCacheEvents)) {
+    for (const json::value &value : reader.list("events", maxCacheEvents)) {
         CacheEvent event;
         if (!readCacheEvent(value, event))
             reader.fail("events: expected op stored, evicted (with block) or cleared");
--- a/src/protocol/EndpointJson.h
+++ b/src/protocol/EndpointJson.h
@@ -1,4 +1,5 @@
-// JSON of the endpoints' calls to an entry: announcements, load reports, cache events.
+// Parses the JSON bodies of endpoints' calls to an entry: announcements, load reports, cache events
+// and leaves.
 #pragma once
 
 #include "state/Endpoint.h"
@@ -25,7 +26,8 @@
     }
 };
 
-// Events number firstSequence, firstSequence + 1, … of one incarnation; gaps happen.
+// Events of one incarnation, numbered firstSequence, firstSequence + 1, …; there may be gaps
+// between batches.
 struct CacheEventBatch
 {
     std::uint64_t incarnation = 0;
@@ -41,12 +43,12 @@
     }
 };
 
-// All fail with InvalidArgument; the step names the call, the cause the member.
+// All errors are InvalidArgument; the step names the call and the cause names the JSON member.
 state::Result<state::EndpointDescription> parseAnnouncement(std::string_view json);
 state::Result<state::LoadReport> parseLoadReport(const state::EndpointId &endpoint,
                                                  std::string_view json);
 state::Result<CacheEventBatch> parseCacheEvents(std::string_view json);
-// The incarnation that leaves, in a batch without events.
+// Returns the leaving incarnation in a batch without events.
 state::Result<CacheEventBatch> parseLeave(std::string_view json);
 
 } // namespace lavenderthread::protocol
--- a/src/protocol/Envelope.h
+++ b/src/protocol/Envelope.h
@@ -1,6 +1,5 @@
-// cereal encoding of the typed messages between the system's processes: a version byte, then the
-// body in cereal's portable binary. Decoding is bounded by the caller's byte buffer and never
-// throws out of here.
+// Encodes messages between the system's processes as a version byte followed by the body in
+// cereal's portable binary format. Decoding never reads beyond the given bytes and never throws.
 #pragma once
 
 #include "protocol/BoundedInputArchive.h"
@@ -22,9 +21,10 @@
 
 namespace lavenderthread::protocol {
 
-// Raised with every change of a message between processes; nodes of another version are refused.
+// Incremented with every change to a message between processes. Messages of nodes with another
+// version are rejected.
 constexpr std::uint8_t peerProtocolVersion = 4;
-// A message between processes is never larger; bigger transfers go in pieces.
+// Size limit of a message between processes; larger transfers are split.
 constexpr std::size_t maximumMessageBytes = 4U << 20U;
 
 template <typename Message>
@@ -39,8 +39,9 @@
     return std::move(stream).str();
 }
 
-// Errors: Unsupported for another version, Corrupt for anything that does not decode whole.
-// A hostile length can't allocate much: BoundedInputArchive refuses lengths beyond the bytes given.
+// Errors: Unsupported for another version, Corrupt for anything that does not decode completely.
+// A malicious length can't cause a large allocation: BoundedInputArchive rejects lengths beyond
+// the bytes given.
 template <typename Message>
 state::Result<Message> decode(std::string_view bytes)
 {
--- a/src/protocol/EventId.cpp
+++ b/src/protocol/EventId.cpp
@@ -1,4 +1,4 @@
-// Event ids are sealed cereal messages written as hex.
+// Event ids are sealed cereal messages encoded as hex.
 #include "protocol/EventId.h"
 
 #include "protocol/Envelope.h"
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::string_view eventIdContext = "event-id";
-constexpr std::size_t longestEventId = 2'048; // hex digits; a real one has a few hundred
+constexpr std::size_t maxEventIdDigits = 2'048; // hex digits; a valid one has a few hundred
 
 } // namespace
 
@@ -30,7 +30,7 @@
     const auto fail = [] {
         return state::makeError(state::ErrorCode::InvalidArgument, "event-id.open", "not hex");
     };
-    if (text.size() > longestEventId || text.size() % 2 != 0
+    if (text.size() > maxEventIdDigits || text.size() % 2 != 0
         || text.find_first_not_of("0123456789abcdefABCDEF") != std::string_view::npos)
         return fail();
     std::string sealed;
--- a/src/protocol/EventId.h
+++ b/src/protocol/EventId.h
@@ -1,6 +1,6 @@
-// Event ids of streamed answers. An id tells any entry where the stream runs and how far the caller
-// has read, so that a caller whose entry died resumes elsewhere. Sealed: a caller can't make one up
-// and read another account's stream.
+// Event ids of streamed answers. An id tells any entry which engine runs the stream and how far the
+// caller has read, so that the caller can resume at another entry if its own fails. Ids are sealed
+// so that a caller can't forge one to read another account's stream.
 #pragma once
 
 #include "protocol/Seal.h"
@@ -19,7 +19,7 @@
     state::EndpointId endpoint;
     state::Address engine;
     std::string stream;       // the engine's stream id
-    std::uint64_t offset = 0; // of the last token the caller has
+    std::uint64_t offset = 0; // of the last token that the caller has received
 
     auto operator<=>(const EventId &) const = default;
 
@@ -30,7 +30,7 @@
     }
 };
 
-// Hex text without blanks, fit for the `id:` line of a server-sent event.
+// Returns hex text without whitespace, as required by the `id:` line of a server-sent event.
 std::string sealEventId(const SealKeys &keys, const EventId &id);
 // Errors: InvalidArgument (not hex), Unauthorized (seal), Corrupt.
 state::Result<EventId> openEventId(const SealKeys &keys, std::string_view text);
--- a/src/protocol/FeedEncoder.cpp
+++ b/src/protocol/FeedEncoder.cpp
@@ -1,4 +1,4 @@
-// Pages, patches and their way back.
+// Encodes and decodes feed pages and configuration patches.
 #include "protocol/FeedEncoder.h"
 
 #include "protocol/ControlCommands.h"
@@ -13,13 +13,13 @@
 
 namespace {
 
-// Entries are a few versions behind at most while changes follow each other; one that is further
-// behind is sent the whole text.
-constexpr std::size_t documentsKept = 16;
-constexpr std::size_t bytesKept = 8U << 20U;
-constexpr std::size_t contentsKept = 64;
+// During a series of changes, entries are at most a few versions behind. An entry that is further
+// behind is sent the full text.
+constexpr std::size_t maxDocuments = 16;
+constexpr std::size_t maxDocumentBytes = 8U << 20U;
+constexpr std::size_t maxCachedContents = 64;
 
-std::size_t bytesOf(const std::deque<control::ConfigurationDocument> &documents)
+std::size_t totalTextBytes(const std::deque<control::ConfigurationDocument> &documents)
 {
     std::size_t bytes = 0;
     for (const control::ConfigurationDocument &document : documents)
@@ -27,8 +27,8 @@
     return bytes;
 }
 
-// Null if the pages tell of no configuration.
-control::ConfigurationDocument *configurationIn(std::vector<control::FeedPage> &pages)
+// Returns null if the pages contain no configuration.
+control::ConfigurationDocument *findConfiguration(std::vector<control::FeedPage> &pages)
 {
     for (control::FeedPage &page : pages) {
         for (control::FeedChange &change : page.changes) {
@@ -39,8 +39,8 @@
     return nullptr;
 }
 
-state::Result<std::string> textAfter(const ConfigurationPatch &patch,
-                                     const control::ConfigurationDocument &held)
+state::Result<std::string> applyConfigurationPatch(const ConfigurationPatch &patch,
+                                                   const control::ConfigurationDocument &held)
 {
     if (patch.base != 0 && patch.base != held.version)
         return state::makeError(state::ErrorCode::Conflict, "feed.decode",
@@ -62,8 +62,8 @@
         || (!this->documents.empty() && this->documents.back().version == newest.version))
         return;
     this->documents.push_back(newest);
-    while (this->documents.size() > documentsKept
-           || (this->documents.size() > 1 && bytesOf(this->documents) > bytesKept))
+    while (this->documents.size() > maxDocuments
+           || (this->documents.size() > 1 && totalTextBytes(this->documents) > maxDocumentBytes))
         this->documents.pop_front();
 }
 
@@ -73,7 +73,7 @@
     const auto known = this->encoded.find(held);
     if (known != this->encoded.end())
         return known->second;
-    if (this->encoded.size() >= contentsKept)
+    if (this->encoded.size() >= maxCachedContents)
         this->encoded.clear();
     return this->encoded.emplace(held, this->encode(state, held)).first->second;
 }
@@ -82,7 +82,7 @@
 {
     FeedContent content;
     std::vector<control::FeedPage> pages = state.changesSince(held.version);
-    if (control::ConfigurationDocument *document = configurationIn(pages)) {
+    if (control::ConfigurationDocument *document = findConfiguration(pages)) {
         content.configuration = this->patchFrom(held.configuration);
         document->text.clear();
     }
@@ -109,13 +109,13 @@
         BOOST_OUTCOME_TRY(control::FeedPage page, decodeFeedPage(bytes));
         pages.push_back(std::move(page));
     }
-    control::ConfigurationDocument *document = configurationIn(pages);
+    control::ConfigurationDocument *document = findConfiguration(pages);
     if (document == nullptr)
         return pages;
     if (!content.configuration || content.configuration->version != document->version)
         return state::makeError(state::ErrorCode::Corrupt, "feed.decode",
                                 "no patch for the configuration of the pages");
-    BOOST_OUTCOME_TRY(document->text, textAfter(*content.configuration, held));
+    BOOST_OUTCOME_TRY(document->text, applyConfigurationPatch(*content.configuration, held));
     return pages;
 }
 
--- a/src/protocol/FeedEncoder.h
+++ b/src/protocol/FeedEncoder.h
@@ -1,6 +1,6 @@
-// What entries lack of the control view, encoded once for all that lack the same. Texts of
-// configurations go as patches: with whole texts, one changed weight cost a control member the
-// document for each entry, and changes were late where documents are long.
+// Encodes the changes of the control view that entries lack, once for all entries with the same
+// versions. Configuration texts are sent as patches: with full texts, changing one weight made a
+// control member send the whole document to each entry, and long documents delayed changes.
 #pragma once
 
 #include "state/Error.h"
@@ -17,12 +17,12 @@
 
 namespace lavenderthread::protocol {
 
-// Turns one configuration into another, or into the other whole (base = 0).
+// Produces a configuration from the base version, or from nothing if `base` is 0.
 struct ConfigurationPatch
 {
-    std::uint64_t base = 0;    // version of the configuration that it applies to
+    std::uint64_t base = 0;    // version of the configuration that the patch applies to
     std::uint64_t version = 0; // of the result
-    std::string bytes;         // protocol::makeTextPatch
+    std::string bytes;         // made by protocol::makeTextPatch
 
     auto operator<=>(const ConfigurationPatch &) const = default;
 
@@ -33,7 +33,7 @@
     }
 };
 
-// What an entry has in force.
+// Versions that an entry has in force.
 struct HeldView
 {
     std::uint64_t version = 0;
@@ -44,8 +44,9 @@
 
 struct FeedContent
 {
-    std::vector<std::string> pages; // protocol::encodeFeedPage, without the configuration's text
-    std::optional<ConfigurationPatch> configuration; // if the pages tell of another one
+    // Encoded by protocol::encodeFeedPage, without the configuration's text.
+    std::vector<std::string> pages;
+    std::optional<ConfigurationPatch> configuration; // if the pages contain a new configuration
 
     auto operator<=>(const FeedContent &) const = default;
 
@@ -56,25 +57,27 @@
     }
 };
 
+// Encodes feed content and caches it per pair of versions that an entry has in force.
 class FeedEncoder
 {
 public:
-    // Call after each change of the state: a configuration that was never noted can't be the base
-    // of a patch.
+    // Must be called after each change of the state: a configuration that was never recorded can't
+    // be the base of a patch.
     void note(const state::control::ControlView &view);
-    // Of the state that was noted last.
+    // Records the state's view, then returns the changes that an entry with `held` lacks. The
+    // reference is valid until the next call.
     const FeedContent &contentFor(const state::control::ControlState &state, const HeldView &held);
 
 private:
     FeedContent encode(const state::control::ControlState &state, const HeldView &held) const;
     ConfigurationPatch patchFrom(std::uint64_t base) const;
 
-    std::uint64_t noted = 0;                                     // version of the view
+    std::uint64_t noted = 0; // version of the last recorded view
     std::deque<state::control::ConfigurationDocument> documents; // oldest first
-    std::map<HeldView, FeedContent> encoded;                     // of the noted view
+    std::map<HeldView, FeedContent> encoded;                     // cache for the recorded view
 };
 
-// The pages as the control member had them. `held`: the configuration in force here. Errors:
+// Restores the control member's pages. `held` is the configuration in force on this entry. Errors:
 // Corrupt; Conflict if the patch needs another base.
 state::Result<std::vector<state::control::FeedPage>>
 decodeFeedContent(const FeedContent &content, const state::control::ConfigurationDocument &held);
--- a/src/protocol/GossipMessages.cpp
+++ b/src/protocol/GossipMessages.cpp
@@ -1,4 +1,4 @@
-// Field by field, the same function for writing and reading.
+// Each field is encoded and decoded by the same function.
 #include "protocol/GossipMessages.h"
 
 #include "protocol/Envelope.h"
@@ -11,9 +11,9 @@
 
 using namespace coordination; // NOLINT(google-build-using-namespace): only in this file's helpers
 
-constexpr std::string_view gossipUse = "gossip";
+constexpr std::string_view gossipContext = "gossip";
 
-// Writes into or reads from the archive; what is read is checked.
+// Writes to or reads from the archive; values that are read are validated.
 template <typename Archive>
 class Fields
 {
@@ -72,7 +72,7 @@
     }
 
 private:
-    // One byte; 255 elements are more than a datagram holds.
+    // One byte suffices: a datagram can't hold 255 elements.
     template <typename Container>
     void length(Container &container)
     {
@@ -105,7 +105,7 @@
     f.id(description.region);
 }
 
-// A description that may be missing; `read` prepares a new one.
+// An optional description; `read` creates a new one.
 template <typename F, typename Value, typename Each>
 void optionalShared(F &f, std::shared_ptr<const Value> &shared, Each each)
 {
@@ -205,7 +205,7 @@
     f.list(message.loads, [&](state::LoadReport &load) { fields(f, load); });
 }
 
-// What encode and decode see.
+// The message type that encode and decode handle.
 struct Datagram
 {
     membership::GossipMessage message;
@@ -224,7 +224,7 @@
                                       const membership::GossipMessage &message)
 {
     try {
-        std::string bytes = seal(keys, gossipUse, encode(Datagram{message}));
+        std::string bytes = seal(keys, gossipContext, encode(Datagram{message}));
         if (bytes.size() > maximumGossipBytes)
             return state::makeError(state::ErrorCode::InvalidArgument, "gossip.encode",
                                     "larger than a datagram may be");
@@ -239,7 +239,7 @@
 {
     if (datagram.size() > maximumGossipBytes)
         return state::makeError(state::ErrorCode::Corrupt, "gossip.decode", "too large");
-    BOOST_OUTCOME_TRY(const std::string bytes, unseal(keys, gossipUse, datagram));
+    BOOST_OUTCOME_TRY(const std::string bytes, unseal(keys, gossipContext, datagram));
     BOOST_OUTCOME_TRY(Datagram decoded, decode<Datagram>(bytes));
     return std::move(decoded.message);
 }
--- a/src/protocol/GossipMessages.h
+++ b/src/protocol/GossipMessages.h
@@ -1,5 +1,5 @@
-// Datagram form of gossip messages: cereal, with one-byte lengths, since a datagram is small and
-// most of it is short names. Sealed under the use "gossip".
+// Encodes gossip messages as datagrams with cereal. Lengths take one byte, because datagrams are
+// small and mostly contain short names. The seal context is "gossip".
 #pragma once
 
 #include "coordination/membership/GossipMessage.h"
@@ -10,7 +10,7 @@
 
 namespace lavenderthread::protocol {
 
-// No datagram of gossip is larger, sealed.
+// Size limit of a gossip datagram, including the seal.
 constexpr std::size_t maximumGossipBytes = 1'200;
 
 // Error: InvalidArgument, step "gossip.encode", for a message that does not fit a datagram.
@@ -18,7 +18,7 @@
                                       const coordination::membership::GossipMessage &message);
 
 // Errors: Unauthorized if no key matches; Unsupported for another version; Corrupt for anything
-// that does not decode whole or holds values out of range.
+// that does not decode completely or has values out of range.
 state::Result<coordination::membership::GossipMessage> unsealGossip(const SealKeys &keys,
                                                                     std::string_view datagram);
 
--- a/src/protocol/HttpMessage.cpp
+++ b/src/protocol/HttpMessage.cpp
@@ -1,4 +1,4 @@
-// Lookups in HTTP values: header names without case, query members with percent-decoding.
+// Case-insensitive lookup of headers and lookup of percent-decoded query parameters.
 #include "protocol/HttpMessage.h"
 
 #include <algorithm>
--- a/src/protocol/HttpMessage.h
+++ b/src/protocol/HttpMessage.h
@@ -1,4 +1,5 @@
-// HTTP requests and responses as plain values, so that only the transport knows the library.
+// HTTP requests and responses as plain values, so that only the transport depends on the HTTP
+// library.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +11,7 @@
 
 namespace lavenderthread::protocol {
 
-// Header fields in order of arrival; names compare without case.
+// Header fields in order of arrival; names are case-insensitive.
 class HttpHeaders
 {
 public:
@@ -47,7 +48,7 @@
     bool operator==(const HttpResponse &) const = default;
 };
 
-// Undoes percent-encoding; malformed escapes stay as they are.
+// Decodes percent-encoding; malformed escapes are left unchanged.
 std::string percentDecode(std::string_view text);
 
 } // namespace lavenderthread::protocol
--- a/src/protocol/JsonResponse.cpp
+++ b/src/protocol/JsonResponse.cpp
@@ -1,4 +1,4 @@
-// Status, type and body.
+// Sets the status, the content type and the body.
 #include "protocol/JsonResponse.h"
 
 #include <boost/json/serialize.hpp>
--- a/src/protocol/JsonResponse.h
+++ b/src/protocol/JsonResponse.h
@@ -1,4 +1,4 @@
-// Responses with JSON in their body.
+// HTTP responses with a JSON body.
 #pragma once
 
 #include "protocol/HttpMessage.h"
@@ -10,7 +10,7 @@
 namespace lavenderthread::protocol {
 
 HttpResponse jsonResponse(unsigned status, const boost::json::value &body);
-// The same of a body that is JSON text already.
+// Same, for a body that is already serialized.
 HttpResponse jsonTextResponse(unsigned status, std::string text);
 
 } // namespace lavenderthread::protocol
--- a/src/protocol/PeerNews.cpp
+++ b/src/protocol/PeerNews.cpp
@@ -1,4 +1,4 @@
-// Packs news into datagrams: as many as fit, each datagram whole by itself.
+// Packs as many updates into each datagram as fit; every datagram can be decoded on its own.
 #include "protocol/PeerNews.h"
 
 #include "protocol/Envelope.h"
@@ -7,26 +7,27 @@
 
 namespace {
 
-// Counts up with each change of the news, which are never stored: the version of the envelope is
-// that of stored data too, and nodes must read theirs after an upgrade.
+// The number is incremented with each change to the format of the updates, which are never stored.
+// The envelope's version can't serve for this: it also applies to stored data, which nodes must be
+// able to read after an upgrade.
 constexpr std::string_view peerNewsContext = "peer-news-2";
-// Of one cache event in the encoding, and of the rest of a datagram that carries some.
+// Encoded size of one cache event, and of the rest of a datagram that carries cache events.
 constexpr std::size_t cacheEventBytes = 9;
-constexpr std::size_t cacheHeadBytes = 300;
+constexpr std::size_t cacheOverheadBytes = 300;
 
-// A batch of cache events in pieces that each fit a datagram.
-std::vector<PeerNews> inPieces(const PeerNews &news)
+// Splits a batch of cache events into updates that each fit a datagram.
+std::vector<PeerNews> splitIntoDatagrams(const PeerNews &update)
 {
-    constexpr std::size_t most = (maximumPeerNewsBytes - cacheHeadBytes) / cacheEventBytes;
-    const auto *cache = std::get_if<CacheNews>(&news);
-    if (cache == nullptr || cache->batch.events.size() <= most)
-        return {news};
+    constexpr std::size_t maxEvents = (maximumPeerNewsBytes - cacheOverheadBytes) / cacheEventBytes;
+    const auto *cache = std::get_if<CacheNews>(&update);
+    if (cache == nullptr || cache->batch.events.size() <= maxEvents)
+        return {update};
     std::vector<PeerNews> pieces;
     const auto &events = cache->batch.events;
-    for (std::size_t at = 0; at < events.size(); at += most) {
+    for (std::size_t at = 0; at < events.size(); at += maxEvents) {
         CacheNews piece{cache->endpoint,
                         {cache->batch.incarnation, cache->batch.firstSequence + at, {}}};
-        const std::size_t end = std::min(at + most, events.size());
+        const std::size_t end = std::min(at + maxEvents, events.size());
         piece.batch.events.assign(events.begin() + static_cast<std::ptrdiff_t>(at),
                                   events.begin() + static_cast<std::ptrdiff_t>(end));
         pieces.emplace_back(std::move(piece));
@@ -36,7 +37,7 @@
 
 } // namespace
 
-std::vector<std::string> sealPeerNews(const SealKeys &keys, const std::vector<PeerNews> &news)
+std::vector<std::string> sealPeerNews(const SealKeys &keys, const std::vector<PeerNews> &updates)
 {
     std::vector<std::string> datagrams;
     std::vector<PeerNews> pending;
@@ -47,8 +48,8 @@
         pending.clear();
         pendingBytes = 0;
     };
-    for (const PeerNews &whole : news) {
-        for (const PeerNews &piece : inPieces(whole)) {
+    for (const PeerNews &whole : updates) {
+        for (const PeerNews &piece : splitIntoDatagrams(whole)) {
             const std::size_t bytes = encode(piece).size();
             if (pendingBytes + bytes + sealBytes + sizeof(std::uint64_t) > maximumPeerNewsBytes)
                 flush();
--- a/src/protocol/PeerNews.h
+++ b/src/protocol/PeerNews.h
@@ -1,5 +1,5 @@
-// What entries tell each other about work in progress, as sealed datagrams. Losing one costs speed
-// only: load reports and expiry correct the view.
+// Updates about work in progress that entries send each other as sealed datagrams. A lost datagram
+// only reduces performance: load reports and expiry correct the receiver's view.
 #pragma once
 
 #include "coordination/admission/Events.h"
@@ -14,7 +14,7 @@
 
 namespace lavenderthread::protocol {
 
-// Cache events of an endpoint that is announced at the sender.
+// Cache events of an endpoint that is registered with the sender.
 struct CacheNews
 {
     state::EndpointId endpoint;
@@ -30,11 +30,11 @@
 using PeerNews = std::variant<coordination::routing::WorkNote, coordination::admission::BacklogNote,
                               CacheNews>;
 
-// Largest sealed datagram; below every usual path's limit.
+// Size limit of a sealed datagram; below the MTU of all common network paths.
 constexpr std::size_t maximumPeerNewsBytes = 1'200;
 
-// As many datagrams as it takes.
-std::vector<std::string> sealPeerNews(const SealKeys &keys, const std::vector<PeerNews> &news);
+// Packs the updates into as many datagrams as needed.
+std::vector<std::string> sealPeerNews(const SealKeys &keys, const std::vector<PeerNews> &updates);
 // Errors: Unauthorized, Unsupported, Corrupt.
 state::Result<std::vector<PeerNews>> unsealPeerNews(const SealKeys &keys,
                                                     std::string_view datagram);
--- a/src/protocol/Problem.cpp
+++ b/src/protocol/Problem.cpp
@@ -1,4 +1,4 @@
-// JSON and HTTP forms of a problem.
+// Converts problems to JSON and to HTTP responses.
 #include "protocol/Problem.h"
 
 #include <boost/json/object.hpp>
--- a/src/protocol/Problem.h
+++ b/src/protocol/Problem.h
@@ -1,4 +1,4 @@
-// Refusals and failures towards callers: application/problem+json with the member `ran`.
+// Error responses to callers: application/problem+json with the additional member `ran`.
 #pragma once
 
 #include "protocol/HttpMessage.h"
@@ -10,8 +10,8 @@
 
 namespace lavenderthread::protocol {
 
-// What the caller may conclude about its request. `No` is said only when it is certain: no byte of
-// the request was handed to an endpoint.
+// Whether the request was executed. `No` is reported only when it is certain: no byte of the
+// request was sent to an endpoint.
 enum class Ran { No, Unknown, Yes };
 
 std::string_view toString(Ran ran);
@@ -19,17 +19,17 @@
 struct Problem
 {
     unsigned status = 500;
-    std::string title;  // short and stable, callers may compare it
-    std::string detail; // one sentence for a person
+    std::string title;  // short and stable; callers may match on it
+    std::string detail; // one human-readable sentence
     Ran ran = Ran::No;
-    std::optional<std::chrono::milliseconds> retryAfter; // when to come back
+    std::optional<std::chrono::milliseconds> retryAfter; // delay before a retry
 
     bool operator==(const Problem &) const = default;
 };
 
 // {"title","status","detail","ran","retry_after_ms"}
 std::string toJson(const Problem &problem);
-// With Retry-After in whole seconds, rounded up, when the problem has one.
+// Sets Retry-After, in whole seconds rounded up, if the problem has a retry delay.
 HttpResponse toResponse(const Problem &problem);
 
 } // namespace lavenderthread::protocol
--- a/src/protocol/Seal.cpp
+++ b/src/protocol/Seal.cpp
@@ -1,4 +1,5 @@
-// HMAC by OpenSSL; comparison in constant time so that a forger learns nothing from the refusal.
+// HMAC from OpenSSL. Codes are compared in constant time so that response times don't help to
+// forge one.
 #include "protocol/Seal.h"
 
 #include <openssl/crypto.h>
@@ -15,7 +16,7 @@
 
 std::string authenticator(std::string_view key, std::string_view context, std::string_view bytes)
 {
-    // The context's length goes first, so that context and bytes can't be shifted into each other.
+    // The length prefix makes the boundary between the context and the bytes unambiguous.
     std::string input;
     input.reserve(1 + context.size() + bytes.size());
     input.push_back(static_cast<char>(context.size()));
--- a/src/protocol/Seal.h
+++ b/src/protocol/Seal.h
@@ -1,5 +1,5 @@
-// Keyed hash over messages between the system's processes, so that only holders of a cluster key
-// can speak. It authenticates; it does not hide.
+// Message authentication between the system's processes: only holders of a cluster key can send
+// valid messages. Messages are not encrypted.
 #pragma once
 
 #include "state/Error.h"
@@ -11,20 +11,20 @@
 
 namespace lavenderthread::protocol {
 
-constexpr std::size_t sealBytes = 16; // HMAC-SHA-256, cut to 128 bits
+constexpr std::size_t sealBytes = 16; // HMAC-SHA-256, truncated to 128 bits
 
-// The first key seals; every key is accepted, so keys rotate by adding the new one at the end
-// everywhere, moving it to the front everywhere, then removing the old one.
+// Messages are sealed with the first key, and every key is accepted. To rotate keys, append the new
+// one on all nodes, then move it to the front on all nodes, then remove the old one.
 struct SealKeys
 {
     std::vector<std::string> keys; // never empty in a running process
 };
 
-// `bytes` followed by its seal. `context` names the use ("gossip", "consensus", "event-id"), so
-// that a message of one use can't be replayed as another.
+// Returns `bytes` followed by their authentication code. `context` names the purpose ("gossip",
+// "consensus", "event-id"), so that a message can't be replayed for another purpose.
 std::string seal(const SealKeys &keys, std::string_view context, std::string_view bytes);
 
-// The bytes without the seal. Error: Unauthorized if no key matches.
+// Verifies and removes the authentication code. Error: Unauthorized if no key matches.
 state::Result<std::string> unseal(const SealKeys &keys, std::string_view context,
                                   std::string_view sealed);
 
--- a/src/protocol/TextPatch.cpp
+++ b/src/protocol/TextPatch.cpp
@@ -1,4 +1,4 @@
-// Zstandard frames with the base as their prefix, and with a checksum of the text.
+// Patches are Zstandard frames that use the base as prefix and carry a checksum of the text.
 #include "protocol/TextPatch.h"
 
 #include <zstd.h>
@@ -14,13 +14,13 @@
 constexpr const char *step = "patch.apply";
 // The fastest level that still finds a moved range of the base.
 constexpr int compressionLevel = 3;
-constexpr int leastWindowBits = 10;
-constexpr int mostWindowBits = 24;
+constexpr int minWindowBits = 10;
+constexpr int maxWindowBits = 24;
 
-// The window has to reach back over the whole base.
+// The window has to cover the whole base.
 int windowBits(std::size_t bytes)
 {
-    return std::clamp(static_cast<int>(std::bit_width(bytes)), leastWindowBits, mostWindowBits);
+    return std::clamp(static_cast<int>(std::bit_width(bytes)), minWindowBits, maxWindowBits);
 }
 
 } // namespace
@@ -37,16 +37,16 @@
     std::string patch(ZSTD_compressBound(text.size()), '\0');
     const std::size_t bytes =
             ZSTD_compress2(context.get(), patch.data(), patch.size(), text.data(), text.size());
-    // Only memory that is not to be had makes this fail; an empty patch is refused by the reader.
+    // This fails only when out of memory; the receiver rejects the empty patch.
     patch.resize(ZSTD_isError(bytes) == 0 ? bytes : 0);
     return patch;
 }
 
 state::Result<std::string> applyTextPatch(std::string_view base, std::string_view patch,
-                                          std::size_t mostBytes)
+                                          std::size_t maxBytes)
 {
     const unsigned long long bytes = ZSTD_getFrameContentSize(patch.data(), patch.size());
-    if (bytes == ZSTD_CONTENTSIZE_UNKNOWN || bytes == ZSTD_CONTENTSIZE_ERROR || bytes > mostBytes)
+    if (bytes == ZSTD_CONTENTSIZE_UNKNOWN || bytes == ZSTD_CONTENTSIZE_ERROR || bytes > maxBytes)
         return state::makeError(state::ErrorCode::Corrupt, step, "bad size");
     const std::unique_ptr<ZSTD_DCtx, decltype(&ZSTD_freeDCtx)> context(ZSTD_createDCtx(),
                                                                        &ZSTD_freeDCtx);
--- a/src/protocol/TextPatch.h
+++ b/src/protocol/TextPatch.h
@@ -1,4 +1,4 @@
-// Compressed texts, alone or as the difference from a text that the reader already has.
+// Compresses texts, either alone or as a patch against a text that the receiver already has.
 #pragma once
 
 #include "state/Error.h"
@@ -9,12 +9,12 @@
 
 namespace lavenderthread::protocol {
 
-// `base` may be empty; the text is then only compressed.
+// If `base` is empty, the text is only compressed.
 std::string makeTextPatch(std::string_view base, std::string_view text);
 
-// The text again. Error: Corrupt, step "patch.apply", if the bytes are no patch, were made from
-// another base, or give more than `mostBytes`.
+// Restores the text. Error: Corrupt, step "patch.apply", if the bytes are not a patch, were made
+// from another base, or decompress to more than `maxBytes`.
 state::Result<std::string> applyTextPatch(std::string_view base, std::string_view patch,
-                                          std::size_t mostBytes);
+                                          std::size_t maxBytes);
 
 } // namespace lavenderthread::protocol
--- a/tests/platform/CodecFuzzTest.cpp
+++ b/tests/platform/CodecFuzzTest.cpp
@@ -1,5 +1,5 @@
-// Bytes that nobody meant for the decoders: changed, cut and joined samples, with fixed seeds. They
-// may refuse, and must neither crash nor take longer than the bytes are worth.
+// Feeds the decoders samples with bytes changed, removed and duplicated at random, with fixed
+// seeds. Decoders may reject them, but must neither crash nor take longer than the size justifies.
 #include "platform/ConfigurationCodec.h"
 #include "platform/EndpointNewsCodec.h"
 #include "platform/RelayWire.h"
@@ -55,7 +55,7 @@
             const auto table = decodeConfiguration(this->mutate(sampleConfiguration));
             if (!table)
                 continue;
-            // What is accepted holds what its checks promise.
+            // An accepted configuration satisfies what the decoder checks.
             for (const state::routes::Route &route : table.value().routes()) {
                 CPPUNIT_ASSERT(route.timeout.count() > 0);
                 for (const state::routes::ServiceShare &share : route.services)
@@ -67,8 +67,8 @@
     void heartbeats()
     {
         for (int round = 0; round < rounds; ++round) {
-            const auto news = decodeHeartbeat("i-1", this->mutate(sampleHeartbeat));
-            CPPUNIT_ASSERT(!news || news.value().description.incarnation > 0);
+            const auto heartbeat = decodeHeartbeat("i-1", this->mutate(sampleHeartbeat));
+            CPPUNIT_ASSERT(!heartbeat || heartbeat.value().description.incarnation > 0);
             decodeFarewell(this->mutate(sampleHeartbeat));
         }
     }
--- a/tests/platform/ConfigurationCodecTest.cpp
+++ b/tests/platform/ConfigurationCodecTest.cpp
@@ -1,4 +1,4 @@
-// Contract of the configuration codec: every field in its place, and each malformed form refused.
+// Tests the configuration codec: every field is decoded, and malformed documents are rejected.
 #include "platform/ConfigurationCodec.h"
 
 #include "platform/Samples.h"
@@ -19,10 +19,10 @@
 class ConfigurationCodecTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(ConfigurationCodecTest);
-    CPPUNIT_TEST(everyFieldIsInItsPlace);
+    CPPUNIT_TEST(decodesEveryField);
     CPPUNIT_TEST(optionalFieldsMayBeAbsent);
-    CPPUNIT_TEST(malformedOnesAreRefused);
-    CPPUNIT_TEST(everyCutIsRefused);
+    CPPUNIT_TEST(malformedDocumentsAreRejected);
+    CPPUNIT_TEST(truncatedDocumentsAreRejected);
     CPPUNIT_TEST_SUITE_END();
 
     static std::string changed(const std::function<void(json::object &)> &change)
@@ -38,7 +38,7 @@
     }
 
 public:
-    void everyFieldIsInItsPlace()
+    void decodesEveryField()
     {
         const auto table = decodeConfiguration(sampleConfiguration).value();
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(7), table.version());
@@ -71,7 +71,7 @@
         CPPUNIT_ASSERT(!without.value().needsKeys());
     }
 
-    void malformedOnesAreRefused()
+    void malformedDocumentsAreRejected()
     {
         struct Case
         {
@@ -116,7 +116,7 @@
         }
     }
 
-    void everyCutIsRefused()
+    void truncatedDocumentsAreRejected()
     {
         for (std::size_t size = 0; size < sampleConfiguration.size(); size += 7)
             CPPUNIT_ASSERT(!decodeConfiguration(sampleConfiguration.substr(0, size)));
--- a/tests/platform/EndpointNewsCodecTest.cpp
+++ b/tests/platform/EndpointNewsCodecTest.cpp
@@ -1,5 +1,5 @@
-// Contract of the endpoints' news: what names an endpoint to use, and what other writers leave
-// there.
+// Tests the codec for endpoints' heartbeats and deregistrations: calls that describe a usable
+// endpoint, and calls of other senders.
 #include "platform/EndpointNewsCodec.h"
 
 #include "platform/Samples.h"
@@ -19,41 +19,42 @@
 class EndpointNewsCodecTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(EndpointNewsCodecTest);
-    CPPUNIT_TEST(everyFieldIsInItsPlace);
-    CPPUNIT_TEST(plainServicesLoadNoModels);
-    CPPUNIT_TEST(foreignNewsNamesNoEndpoint);
-    CPPUNIT_TEST(farewellsSayTheirLife);
+    CPPUNIT_TEST(decodesEveryField);
+    CPPUNIT_TEST(plainServicesHaveNoModels);
+    CPPUNIT_TEST(unusableHeartbeatsAreRejected);
+    CPPUNIT_TEST(deregistrationsContainTheIncarnation);
     CPPUNIT_TEST_SUITE_END();
 
     static json::object sample() { return json::parse(sampleHeartbeat).as_object(); }
 
 public:
-    void everyFieldIsInItsPlace()
+    void decodesEveryField()
     {
-        const EndpointNews news = decodeHeartbeat("i-1", sampleHeartbeat).value();
-        CPPUNIT_ASSERT(!news.draining);
-        CPPUNIT_ASSERT_EQUAL(std::string("i-1"), news.description.id.value());
-        CPPUNIT_ASSERT_EQUAL(std::string("10.128.0.9:8080"), news.description.address.toString());
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t(1790000000123), news.description.incarnation);
-        CPPUNIT_ASSERT(news.description.kind == state::EndpointKind::Engine);
-        CPPUNIT_ASSERT_EQUAL(std::string("llm/m"), news.description.models.at(0).value());
-        CPPUNIT_ASSERT_EQUAL(std::string("puget-a"), news.description.failureDomain.value());
+        const EndpointNews heartbeat = decodeHeartbeat("i-1", sampleHeartbeat).value();
+        CPPUNIT_ASSERT(!heartbeat.draining);
+        CPPUNIT_ASSERT_EQUAL(std::string("i-1"), heartbeat.description.id.value());
+        CPPUNIT_ASSERT_EQUAL(std::string("10.128.0.9:8080"),
+                             heartbeat.description.address.toString());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t(1790000000123), heartbeat.description.incarnation);
+        CPPUNIT_ASSERT(heartbeat.description.kind == state::EndpointKind::Engine);
+        CPPUNIT_ASSERT_EQUAL(std::string("llm/m"), heartbeat.description.models.at(0).value());
+        CPPUNIT_ASSERT_EQUAL(std::string("puget-a"), heartbeat.description.failureDomain.value());
         json::object leaving = sample();
         leaving["State"] = "draining";
         CPPUNIT_ASSERT(decodeHeartbeat("i-1", json::serialize(leaving)).value().draining);
     }
 
-    void plainServicesLoadNoModels()
+    void plainServicesHaveNoModels()
     {
         json::object plain = sample();
         plain.erase("Models");
         plain.erase("Stage");
-        const EndpointNews news = decodeHeartbeat("i-1", json::serialize(plain)).value();
-        CPPUNIT_ASSERT(news.description.kind == state::EndpointKind::PlainService);
-        CPPUNIT_ASSERT(news.description.models.empty());
+        const EndpointNews heartbeat = decodeHeartbeat("i-1", json::serialize(plain)).value();
+        CPPUNIT_ASSERT(heartbeat.description.kind == state::EndpointKind::PlainService);
+        CPPUNIT_ASSERT(heartbeat.description.models.empty());
     }
 
-    void foreignNewsNamesNoEndpoint()
+    void unusableHeartbeatsAreRejected()
     {
         struct Case
         {
@@ -67,19 +68,19 @@
                 {"born", 12.5},       {"born", "always"}, {"Models", "m"},      {"Models", {1}},
         };
         for (const Case &each : cases) {
-            json::object spoiled = sample();
+            json::object malformed = sample();
             if (each.value.is_null())
-                spoiled.erase(each.field);
+                malformed.erase(each.field);
             else
-                spoiled[each.field] = each.value;
-            CPPUNIT_ASSERT_MESSAGE(each.field, !decodeHeartbeat("i-1", json::serialize(spoiled)));
+                malformed[each.field] = each.value;
+            CPPUNIT_ASSERT_MESSAGE(each.field, !decodeHeartbeat("i-1", json::serialize(malformed)));
         }
         CPPUNIT_ASSERT(!decodeHeartbeat("", sampleHeartbeat));
         CPPUNIT_ASSERT(!decodeHeartbeat("i-1", "[]"));
         CPPUNIT_ASSERT(!decodeHeartbeat("i-1", "\xff\xfe"));
     }
 
-    void farewellsSayTheirLife()
+    void deregistrationsContainTheIncarnation()
     {
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(12), *decodeFarewell(R"({"born":12})"));
         CPPUNIT_ASSERT(!decodeFarewell(""));
--- a/tests/platform/RelayTest.cpp
+++ b/tests/platform/RelayTest.cpp
@@ -1,5 +1,5 @@
-// The relay on loopback, through the provider's wire, with a stand-in of an endpoint that fails at
-// each step at which one may fail.
+// Tests the relay over loopback with the provider's protocol and fake endpoints that fail at each
+// step at which an endpoint may fail.
 #include "platform/RelayWire.h"
 
 #include "fakes/LoopbackServer.h"
@@ -25,24 +25,24 @@
 
 namespace {
 
-// What the endpoint does with a request.
+// How a fake endpoint handles a request.
 enum class Behaviour {
     Answers,
-    Fails,         // its own 500
-    Refuses,       // 503, not run
-    IsAnother,     // 421
-    Closes,        // without an answer
-    CutsBody,      // in the middle
-    CrossedAnswer, // of another request
+    Fails,               // with its own status 500
+    Refuses,             // 503, request not run
+    IsOtherEndpoint,     // 421: another endpoint has the address
+    Closes,              // the connection, without an answer
+    CutsBody,            // in the middle of the body
+    AnswersOtherRequest, // sends the answer of another request
     Unsealed,
     CutsInsideAnEvent,
-    PausesLong, // behind the second event, and then goes on
+    PausesLong, // after the second event, then continues
     Streams,
     NeverAnswers,
 };
 
 const state::ServiceName service("app");
-// Over the 0.9 s after which the relay would rather go on elsewhere.
+// Exceeds the 0.9 s after which the relay prefers to resume at another endpoint.
 constexpr std::chrono::milliseconds longPause{1'400};
 
 protocol::HttpResponse sealedAnswer(const protocol::HttpRequest &request, unsigned status)
@@ -55,11 +55,12 @@
     return answer;
 }
 
-// Endpoints, a relay and one caller, each a listener or a connection of one thread.
-class Rig
+// Runs endpoints, a relay and one caller as listeners and connections of one thread.
+class RelayFixture
 {
 public:
-    Rig(state::routes::CallKind kind, std::vector<Behaviour> behaviours, bool engines = false)
+    RelayFixture(state::routes::CallKind kind, std::vector<Behaviour> behaviours,
+                 bool engines = false)
         : behaviours(std::move(behaviours))
     {
         this->publishRoutes(kind, engines);
@@ -75,7 +76,7 @@
             endpoint.address = this->servers.back()->address();
             this->announced.endpoints[endpoint.id] = {endpoint, false, false};
         }
-        this->showEndpoints();
+        this->publishEndpoints();
         this->relay = std::make_unique<RouteRelay>(this->settings, this->hooks(), 1);
         this->front =
                 fakes::serveOnLoopback(this->context, [this](transport::HttpExchange &exchange) {
@@ -84,13 +85,13 @@
         this->thread = std::thread([this] { this->context.run(); });
     }
 
-    ~Rig()
+    ~RelayFixture()
     {
         this->context.stop();
         this->thread.join();
     }
-    Rig(const Rig &) = delete;
-    Rig &operator=(const Rig &) = delete;
+    RelayFixture(const RelayFixture &) = delete;
+    RelayFixture &operator=(const RelayFixture &) = delete;
 
     state::Result<protocol::HttpResponse> call(protocol::HttpRequest wanted = request())
     {
@@ -102,11 +103,11 @@
         return program::runToEnd(run(this->front->address(), std::move(wanted)));
     }
 
-    void showEndpoints() { this->table.publish(EndpointTable(this->announced)); }
-    void hideEndpoints() { this->table.publish(EndpointTable()); }
+    void publishEndpoints() { this->table.publish(EndpointTable(this->announced)); }
+    void withdrawEndpoints() { this->table.publish(EndpointTable()); }
 
-    // Sends the request and closes after a while without reading.
-    void callAndLeave(std::chrono::milliseconds after)
+    // Sends the request and closes the connection after `after` without reading the answer.
+    void callAndClose(std::chrono::milliseconds after)
     {
         asio::io_context io;
         asio::ip::tcp::socket socket(io);
@@ -131,8 +132,8 @@
     std::atomic<coordination::orders::ViewStanding> standing =
             coordination::orders::ViewStanding::Confirmed;
     std::atomic<int> arrivals = 0;
-    std::atomic<std::int64_t> leftAtUs = 0; // when an endpoint saw its caller close
-    std::string resumedBehind;              // as the last endpoint was told
+    std::atomic<std::int64_t> closedAtUs = 0; // when an endpoint noticed that its caller had closed
+    std::string resumedBehind;                // as sent to the last endpoint
 
 private:
     void publishRoutes(state::routes::CallKind kind, bool engines)
@@ -171,7 +172,7 @@
         return hooks;
     }
 
-    // Places on the first engine that is known.
+    // Places every request on the first known engine.
     program::Scheduler firstEngine()
     {
         program::Scheduler scheduler;
@@ -210,10 +211,10 @@
             answer.status = 503;
             answer.headers.add("Not-Executed", "1");
             break;
-        case Behaviour::IsAnother:
+        case Behaviour::IsOtherEndpoint:
             answer.status = 421;
             break;
-        case Behaviour::CrossedAnswer:
+        case Behaviour::AnswersOtherRequest:
             answer.headers = {{"Request-Id", "r0"}, {"Response-Seal", "seal"}};
             break;
         case Behaviour::Unsealed:
@@ -234,8 +235,8 @@
     asio::awaitable<void> waitForClose(transport::HttpExchange &exchange)
     {
         exchange.onCallerGone(
-                [this] { this->leftAtUs = program::monotonicNow().time_since_epoch().count(); });
-        for (int waits = 0; waits < 200 && this->leftAtUs == 0; ++waits)
+                [this] { this->closedAtUs = program::monotonicNow().time_since_epoch().count(); });
+        for (int waits = 0; waits < 200 && this->closedAtUs == 0; ++waits)
             co_await transport::pause(std::chrono::milliseconds(10));
     }
 
@@ -251,9 +252,9 @@
             if (behaviour == Behaviour::PausesLong && id == 3)
                 co_await transport::pause(longPause);
             if (behaviour == Behaviour::CutsInsideAnEvent && id == 3) {
-                const std::string torn = "id: 3\nda";
-                co_await exchange.write(torn);
-                co_return; // left unfinished: the connection is cut
+                const std::string partial = "id: 3\nda";
+                co_await exchange.write(partial);
+                co_return; // incomplete answer: the connection is closed
             }
             const std::string event = "id: " + std::to_string(id) + "\ndata: x\n\n";
             co_await exchange.write(event);
@@ -276,7 +277,7 @@
 struct Case
 {
     const char *name;
-    std::vector<Behaviour> behaviours; // of the first arrival, the second, …
+    std::vector<Behaviour> behaviours; // by order of arrival of the requests
     unsigned status;
     int arrivals;
 };
@@ -294,17 +295,17 @@
 class RelayTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(RelayTest);
-    CPPUNIT_TEST(unrepeatableCalls);
+    CPPUNIT_TEST(nonIdempotentCalls);
     CPPUNIT_TEST(idempotentCalls);
-    CPPUNIT_TEST(resumedStreamEqualsTheUndisturbedOne);
-    CPPUNIT_TEST(streamThatCantGoOnIsCut);
-    CPPUNIT_TEST(silentStreamMovesOn);
-    CPPUNIT_TEST(silentStreamWithoutAnotherTryIsWaitedFor);
-    CPPUNIT_TEST(callersCloseReachesTheEndpoint);
-    CPPUNIT_TEST(timeLimitIsKept);
-    CPPUNIT_TEST(firstEngineIsWaitedFor);
-    CPPUNIT_TEST(outdatedConfigurationDecidesNothing);
-    CPPUNIT_TEST(unconfirmedConfigurationRefusesNoRouteForGood);
+    CPPUNIT_TEST(resumedStreamEqualsUninterruptedOne);
+    CPPUNIT_TEST(streamThatCannotResumeIsAborted);
+    CPPUNIT_TEST(stalledStreamResumesElsewhere);
+    CPPUNIT_TEST(stalledStreamWithoutAttemptsLeftIsAwaited);
+    CPPUNIT_TEST(callerCloseReachesEndpoint);
+    CPPUNIT_TEST(timeoutIsEnforced);
+    CPPUNIT_TEST(firstEngineIsAwaited);
+    CPPUNIT_TEST(outdatedConfigurationIsNotUsed);
+    CPPUNIT_TEST(unconfirmedConfigurationDoesNotAnswer404);
     CPPUNIT_TEST_SUITE_END();
 
     using Kind = state::routes::CallKind;
@@ -312,11 +313,11 @@
     static void check(Kind kind, const std::vector<Case> &cases)
     {
         for (const Case &each : cases) {
-            Rig rig(kind, each.behaviours);
-            const auto answer = rig.call();
+            RelayFixture fixture(kind, each.behaviours);
+            const auto answer = fixture.call();
             CPPUNIT_ASSERT_MESSAGE(each.name, answer.has_value());
             CPPUNIT_ASSERT_EQUAL_MESSAGE(each.name, each.status, answer.value().status);
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(each.name, each.arrivals, rig.arrivals.load());
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(each.name, each.arrivals, fixture.arrivals.load());
             const bool own = answer.value().headers.find("Response-Seal").has_value();
             const bool endpoints = each.status == 200 || each.status == 500;
             CPPUNIT_ASSERT_EQUAL_MESSAGE(each.name, endpoints, own);
@@ -325,146 +326,148 @@
 
     static protocol::HttpRequest requestWithoutRoute()
     {
-        protocol::HttpRequest request = Rig::request();
+        protocol::HttpRequest request = RelayFixture::request();
         request.target = "/added/x";
         return request;
     }
 
 public:
-    // Guards against a request that is run by the service of an older configuration after a newer
-    // one was acknowledged.
-    void outdatedConfigurationDecidesNothing()
+    // Guards against running a request on the service of an older configuration after a newer one
+    // was acknowledged.
+    void outdatedConfigurationIsNotUsed()
     {
-        Rig rig(Kind::Idempotent, {Behaviour::Answers});
-        rig.standing = coordination::orders::ViewStanding::Outdated;
-        const auto answer = rig.call();
+        RelayFixture fixture(Kind::Idempotent, {Behaviour::Answers});
+        fixture.standing = coordination::orders::ViewStanding::Outdated;
+        const auto answer = fixture.call();
         CPPUNIT_ASSERT_EQUAL(503U, answer.value().status);
         CPPUNIT_ASSERT(answer.value().headers.find("Retry-After").has_value());
-        CPPUNIT_ASSERT_EQUAL(0, rig.arrivals.load());
+        CPPUNIT_ASSERT_EQUAL(0, fixture.arrivals.load());
     }
 
-    // Guards against 404 on a route that was acknowledged and has not come to this node.
-    void unconfirmedConfigurationRefusesNoRouteForGood()
+    // Guards against 404 for a route that was acknowledged but hasn't reached this node yet.
+    void unconfirmedConfigurationDoesNotAnswer404()
     {
-        Rig rig(Kind::Idempotent, {Behaviour::Answers});
-        CPPUNIT_ASSERT_EQUAL(404U, rig.call(requestWithoutRoute()).value().status);
-        rig.standing = coordination::orders::ViewStanding::Unconfirmed;
-        CPPUNIT_ASSERT_EQUAL(503U, rig.call(requestWithoutRoute()).value().status);
-        CPPUNIT_ASSERT_EQUAL(200U, rig.call().value().status);
+        RelayFixture fixture(Kind::Idempotent, {Behaviour::Answers});
+        CPPUNIT_ASSERT_EQUAL(404U, fixture.call(requestWithoutRoute()).value().status);
+        fixture.standing = coordination::orders::ViewStanding::Unconfirmed;
+        CPPUNIT_ASSERT_EQUAL(503U, fixture.call(requestWithoutRoute()).value().status);
+        CPPUNIT_ASSERT_EQUAL(200U, fixture.call().value().status);
     }
 
-    // A posting: one that may have run goes to no other replica and is never answered "not run".
-    void unrepeatableCalls()
+    // A non-idempotent request that may have run is not sent to another replica and is never
+    // answered with "not run".
+    void nonIdempotentCalls()
     {
         using enum Behaviour;
         check(Kind::NonIdempotent, {
                                            {"answers", {Answers, Answers}, 200, 1},
                                            {"fails", {Fails, Answers}, 500, 1},
                                            {"closes", {Closes, Answers}, 502, 1},
-                                           {"crossed", {CrossedAnswer, Answers}, 502, 1},
+                                           {"crossed", {AnswersOtherRequest, Answers}, 502, 1},
                                            {"unsealed", {Unsealed, Answers}, 502, 1},
                                            {"refuses", {Refuses, Answers}, 200, 2},
-                                           {"another", {IsAnother, Answers}, 200, 2},
+                                           {"another", {IsOtherEndpoint, Answers}, 200, 2},
                                            {"refuses, closes", {Refuses, Closes}, 502, 2},
                                            {"all refuse", {Refuses, Refuses, Refuses}, 503, 3},
                                    });
     }
 
-    // A lookup: it may run twice, as often as its route allows, and a failure comes back only when
-    // no endpoint is left to ask.
+    // An idempotent request may run more than once, up to the attempts of its route. A failure is
+    // returned only when no endpoint is left to try.
     void idempotentCalls()
     {
         using enum Behaviour;
         check(Kind::Idempotent, {
                                         {"fails once", {Fails, Answers}, 200, 2},
                                         {"closes once", {Closes, Answers}, 200, 2},
-                                        {"crossed once", {CrossedAnswer, Answers}, 200, 2},
+                                        {"crossed once", {AnswersOtherRequest, Answers}, 200, 2},
                                         {"fails twice", {Fails, Fails, Answers}, 500, 2},
                                         {"closes twice", {Closes, Closes, Answers}, 502, 2},
                                 });
     }
 
-    // The first engine dies inside event 3. The caller sees one stream, as if nothing had happened.
-    void resumedStreamEqualsTheUndisturbedOne()
+    // The first engine fails in the middle of event 3. The caller receives one uninterrupted
+    // stream.
+    void resumedStreamEqualsUninterruptedOne()
     {
-        Rig undisturbed(Kind::Stream, {Behaviour::Streams});
-        const auto expected = undisturbed.call();
-        Rig rig(Kind::Stream, {Behaviour::CutsInsideAnEvent, Behaviour::Streams});
-        const auto answer = rig.call();
+        RelayFixture uninterrupted(Kind::Stream, {Behaviour::Streams});
+        const auto expected = uninterrupted.call();
+        RelayFixture fixture(Kind::Stream, {Behaviour::CutsInsideAnEvent, Behaviour::Streams});
+        const auto answer = fixture.call();
         CPPUNIT_ASSERT_EQUAL(eventsUpTo(6), expected.value().body);
         CPPUNIT_ASSERT_EQUAL(expected.value().body, answer.value().body);
-        CPPUNIT_ASSERT_EQUAL(std::string("2"), rig.resumedBehind);
+        CPPUNIT_ASSERT_EQUAL(std::string("2"), fixture.resumedBehind);
     }
 
-    // Every engine dies inside an event: the answer must not look complete.
-    void streamThatCantGoOnIsCut()
+    // Every engine fails in the middle of an event: the answer must not look complete.
+    void streamThatCannotResumeIsAborted()
     {
-        Rig rig(Kind::Stream, {Behaviour::CutsInsideAnEvent, Behaviour::Closes});
-        const auto answer = rig.call();
+        RelayFixture fixture(Kind::Stream, {Behaviour::CutsInsideAnEvent, Behaviour::Closes});
+        const auto answer = fixture.call();
         CPPUNIT_ASSERT(!answer);
         CPPUNIT_ASSERT_EQUAL(std::string(transport::receiveStep), answer.error().step);
     }
 
-    // The first engine falls silent behind event 2 and the second one has the rest: the caller gets
-    // it without waiting for the first.
-    void silentStreamMovesOn()
+    // The first engine stalls after event 2 and the second one has the rest: the caller receives it
+    // without waiting for the first engine.
+    void stalledStreamResumesElsewhere()
     {
-        Rig rig(Kind::Stream, {Behaviour::PausesLong, Behaviour::Streams});
-        const auto answer = rig.call();
+        RelayFixture fixture(Kind::Stream, {Behaviour::PausesLong, Behaviour::Streams});
+        const auto answer = fixture.call();
         CPPUNIT_ASSERT_EQUAL(eventsUpTo(6), answer.value().body);
-        CPPUNIT_ASSERT_EQUAL(2, rig.arrivals.load());
-        CPPUNIT_ASSERT_EQUAL(std::string("2"), rig.resumedBehind);
+        CPPUNIT_ASSERT_EQUAL(2, fixture.arrivals.load());
+        CPPUNIT_ASSERT_EQUAL(std::string("2"), fixture.resumedBehind);
     }
 
-    // Both engines fall silent for a while, as they do when a helper of theirs is lost. The
-    // caller's answer used to be cut in the middle at the second silence, though the engine would
-    // have gone on: with no try left the relay has nothing better than to wait.
-    void silentStreamWithoutAnotherTryIsWaitedFor()
+    // Both engines stall for a while, as they do when they lose a helper. Guards against truncating
+    // the caller's answer at the second stall although the engine would have continued: without an
+    // attempt left, the relay has to wait.
+    void stalledStreamWithoutAttemptsLeftIsAwaited()
     {
-        Rig rig(Kind::Stream, {Behaviour::PausesLong, Behaviour::PausesLong});
-        const auto answer = rig.call();
+        RelayFixture fixture(Kind::Stream, {Behaviour::PausesLong, Behaviour::PausesLong});
+        const auto answer = fixture.call();
         CPPUNIT_ASSERT(answer.has_value());
         CPPUNIT_ASSERT_EQUAL(eventsUpTo(6), answer.value().body);
-        CPPUNIT_ASSERT_EQUAL(2, rig.arrivals.load());
+        CPPUNIT_ASSERT_EQUAL(2, fixture.arrivals.load());
     }
 
-    // A caller closes while its request is worked on: the endpoint stops within 100 ms.
-    void callersCloseReachesTheEndpoint()
+    // A caller closes the connection while its request runs: the endpoint stops within 100 ms.
+    void callerCloseReachesEndpoint()
     {
-        Rig rig(Kind::Idempotent, {Behaviour::NeverAnswers});
-        rig.callAndLeave(std::chrono::milliseconds(150));
+        RelayFixture fixture(Kind::Idempotent, {Behaviour::NeverAnswers});
+        fixture.callAndClose(std::chrono::milliseconds(150));
         const std::int64_t closed = program::monotonicNow().time_since_epoch().count();
-        for (int waits = 0; waits < 100 && rig.leftAtUs == 0; ++waits)
+        for (int waits = 0; waits < 100 && fixture.closedAtUs == 0; ++waits)
             std::this_thread::sleep_for(std::chrono::milliseconds(5));
-        CPPUNIT_ASSERT(rig.leftAtUs > 0);
-        CPPUNIT_ASSERT(rig.leftAtUs - closed < 100'000);
+        CPPUNIT_ASSERT(fixture.closedAtUs > 0);
+        CPPUNIT_ASSERT(fixture.closedAtUs - closed < 100'000);
     }
 
-    // Guards against refusals right after a start: the configuration is known a moment before the
-    // first engine is heard of, and all who came then were sent away.
-    void firstEngineIsWaitedFor()
+    // Guards against rejections right after a start: the configuration is known shortly before the
+    // first engine, and all requests that arrived in between were rejected.
+    void firstEngineIsAwaited()
     {
-        Rig rig(Kind::Stream, {Behaviour::Streams}, true);
-        rig.hideEndpoints();
-        std::thread announce([&rig] {
+        RelayFixture fixture(Kind::Stream, {Behaviour::Streams}, true);
+        fixture.withdrawEndpoints();
+        std::thread announce([&fixture] {
             std::this_thread::sleep_for(std::chrono::milliseconds(200));
-            rig.showEndpoints();
+            fixture.publishEndpoints();
         });
-        const auto answer = rig.call();
+        const auto answer = fixture.call();
         announce.join();
         CPPUNIT_ASSERT_EQUAL(200U, answer.value().status);
         CPPUNIT_ASSERT_EQUAL(eventsUpTo(6), answer.value().body);
     }
 
-    // An endpoint that never answers a call: the caller is answered at the route's timeout of 2 s.
-    void timeLimitIsKept()
+    // An endpoint never answers a request: the caller gets an answer at the route's timeout of 2 s.
+    void timeoutIsEnforced()
     {
-        Rig rig(Kind::NonIdempotent, {Behaviour::NeverAnswers, Behaviour::Answers});
+        RelayFixture fixture(Kind::NonIdempotent, {Behaviour::NeverAnswers, Behaviour::Answers});
         const state::Instant begin = program::monotonicNow();
-        const auto answer = rig.call();
+        const auto answer = fixture.call();
         const state::Duration took = program::monotonicNow() - begin;
         CPPUNIT_ASSERT_EQUAL(504U, answer.value().status);
-        CPPUNIT_ASSERT_EQUAL(1, rig.arrivals.load());
+        CPPUNIT_ASSERT_EQUAL(1, fixture.arrivals.load());
         CPPUNIT_ASSERT(took >= std::chrono::milliseconds(1'900));
         CPPUNIT_ASSERT(took < std::chrono::milliseconds(2'500));
     }
--- a/tests/platform/RelayWireTest.cpp
+++ b/tests/platform/RelayWireTest.cpp
@@ -1,5 +1,5 @@
-// Contract of the relayed headers: what a request says, what goes on to an endpoint, and what the
-// head of an answer tells.
+// Tests the relay's header codec: decoding of requests, headers forwarded to an endpoint, and
+// decoding of answer headers.
 #include "platform/RelayWire.h"
 
 #include <cppunit/TestFixture.h>
@@ -43,18 +43,18 @@
 class RelayWireTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(RelayWireTest);
-    CPPUNIT_TEST(requestsSayWhoAndWhat);
-    CPPUNIT_TEST(malformedValuesAreLeftOut);
-    CPPUNIT_TEST(keysStayAndTermsAreSet);
-    CPPUNIT_TEST(headsOfAnswers);
-    CPPUNIT_TEST(refusalsTellWhenToComeBack);
-    CPPUNIT_TEST(memoryOrders);
+    CPPUNIT_TEST(decodesRequests);
+    CPPUNIT_TEST(malformedHeadersAreIgnored);
+    CPPUNIT_TEST(forwardedHeadersOmitKeyAndSetTerms);
+    CPPUNIT_TEST(decodesAnswerHeads);
+    CPPUNIT_TEST(refusalsContainRetryAfter);
+    CPPUNIT_TEST(encodesMemoryOrders);
     CPPUNIT_TEST_SUITE_END();
 
     const program::RelayCodec codec = makeRelayCodec();
 
 public:
-    void requestsSayWhoAndWhat()
+    void decodesRequests()
     {
         const auto decoded = this->codec.decode(sampleRequest()).value();
         CPPUNIT_ASSERT(decoded.id == id);
@@ -66,7 +66,7 @@
         CPPUNIT_ASSERT_EQUAL(80U, decoded.outputTokens);
     }
 
-    void malformedValuesAreLeftOut()
+    void malformedHeadersAreIgnored()
     {
         HttpRequest request;
         request.headers = {{"Request-Id", "x"},
@@ -80,7 +80,7 @@
         CPPUNIT_ASSERT(!this->codec.decode(request));
     }
 
-    void keysStayAndTermsAreSet()
+    void forwardedHeadersOmitKeyAndSetTerms()
     {
         program::ForwardTerms terms;
         terms.timeLeft = std::chrono::milliseconds(9'500);
@@ -107,7 +107,7 @@
             CPPUNIT_ASSERT_EQUAL_MESSAGE(name, std::string("(none)"), value(name));
     }
 
-    void headsOfAnswers()
+    void decodesAnswerHeads()
     {
         struct Case
         {
@@ -136,7 +136,7 @@
                 {"failure of another", 500, {{"Request-Id", other}}, false, false},
                 {"full", 503, {{"Request-Id", id.value()}, {"Not-Executed", "1"}}, true, true},
                 {"overloaded, may have run", 503, {{"Request-Id", id.value()}}, true, false},
-                {"another endpoint lives there", 421, {}, true, true},
+                {"another endpoint at the address", 421, {}, true, true},
         };
         for (const Case &each : cases) {
             const auto head = this->codec.readHead(each.status, each.headers, id);
@@ -149,7 +149,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.9:8080"), loaded.faulty->toString());
     }
 
-    void refusalsTellWhenToComeBack()
+    void refusalsContainRetryAfter()
     {
         const auto answer = this->codec.refuse({503, "busy", std::chrono::milliseconds(1'250)});
         CPPUNIT_ASSERT_EQUAL(503U, answer.status);
@@ -159,7 +159,7 @@
                 !this->codec.refuse({502, "lost", std::nullopt}).headers.find("Retry-After"));
     }
 
-    void memoryOrders()
+    void encodesMemoryOrders()
     {
         const auto reserve =
                 this->codec.memory.reserve("lease", 60'000, std::chrono::milliseconds(3'500));
@@ -170,7 +170,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string(R"({"Op":"release","Id":"lease"})"),
                              this->codec.memory.release("lease").body);
         CPPUNIT_ASSERT(this->codec.memory.granted(200));
-        CPPUNIT_ASSERT(!this->codec.memory.granted(202)); // a promise only
+        CPPUNIT_ASSERT(!this->codec.memory.granted(202)); // promised, not granted yet
         CPPUNIT_ASSERT(!this->codec.memory.granted(409));
     }
 };
--- a/tests/platform/Samples.h
+++ b/tests/platform/Samples.h
@@ -1,4 +1,4 @@
-// Documents of the provider's wire as they look when nothing is wrong with them.
+// Valid sample documents of the provider's protocols.
 #pragma once
 
 #include <string>
--- a/tests/protocol/ConsensusMessagesTest.cpp
+++ b/tests/protocol/ConsensusMessagesTest.cpp
@@ -1,4 +1,4 @@
-// Contract of the consensus codec: every kind comes back as it went, and nothing else is accepted.
+// Tests the consensus codec: every message kind round-trips, and malformed messages are rejected.
 #include "protocol/ConsensusMessages.h"
 
 #include "protocol/Envelope.h"
@@ -27,8 +27,8 @@
 {
     CPPUNIT_TEST_SUITE(ConsensusMessagesTest);
     CPPUNIT_TEST(roundTrip);
-    CPPUNIT_TEST(refusesBrokenBounds);
-    CPPUNIT_TEST(refusesDamage);
+    CPPUNIT_TEST(rejectsViolatedBounds);
+    CPPUNIT_TEST(rejectsCorruption);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -56,7 +56,7 @@
         }
     }
 
-    void refusesBrokenBounds()
+    void rejectsViolatedBounds()
     {
         const Message good = samples()[2];
         Message gap = good;
@@ -81,8 +81,9 @@
         CPPUNIT_ASSERT(decodeConsensusFrame(version).error().code == state::ErrorCode::Unsupported);
     }
 
-    // Cut anywhere it is refused; with bytes changed it is refused or is some other sound message.
-    void refusesDamage()
+    // A truncated message is rejected. A message with changed bytes is rejected or decodes to some
+    // other valid message.
+    void rejectsCorruption()
     {
         std::mt19937_64 random(4);
         for (const Message &message : samples()) {
@@ -90,10 +91,10 @@
             for (std::size_t size = 0; size < whole.size(); ++size)
                 CPPUNIT_ASSERT(decodeConsensusFrame(whole.substr(0, size)).has_error());
             for (int round = 0; round < 2000; ++round) {
-                std::string damaged = whole;
+                std::string corrupted = whole;
                 for (int change = 0; change < 3; ++change)
-                    damaged[random() % damaged.size()] = static_cast<char>(random());
-                static_cast<void>(decodeConsensusFrame(damaged).has_error());
+                    corrupted[random() % corrupted.size()] = static_cast<char>(random());
+                static_cast<void>(decodeConsensusFrame(corrupted).has_error());
             }
         }
     }
--- a/tests/protocol/ControlCommandsTest.cpp
+++ b/tests/protocol/ControlCommandsTest.cpp
@@ -1,4 +1,4 @@
-// The codec of commands and snapshots: round trips, and damaged bytes refused without harm.
+// Tests the codec for commands and snapshots: round trips, and safe handling of corrupted bytes.
 #include "protocol/ControlCommands.h"
 
 #include <cppunit/TestFixture.h>
@@ -43,9 +43,9 @@
 {
     CPPUNIT_TEST_SUITE(ControlCommandsTest);
     CPPUNIT_TEST(commandsRoundTrip);
-    CPPUNIT_TEST(digestIgnoresTheTimeOnly);
-    CPPUNIT_TEST(damagedCommandsDoNoHarm);
-    CPPUNIT_TEST(damagedSnapshotsDoNoHarm);
+    CPPUNIT_TEST(digestIgnoresOnlyTheTime);
+    CPPUNIT_TEST(corruptCommandsAreHandledSafely);
+    CPPUNIT_TEST(corruptSnapshotsAreHandledSafely);
     CPPUNIT_TEST(largeConfigurationFitsTheLog);
     CPPUNIT_TEST_SUITE_END();
 
@@ -63,8 +63,8 @@
         CPPUNIT_ASSERT(decodeAnswer(encodeAnswer(refused)).value() == refused);
     }
 
-    // Guards against a configuration that operators may send and the log refuses for its size, and
-    // against a snapshot for every second change.
+    // Guards against a configuration that operators may send but that is too large for the log, and
+    // against taking a snapshot after every second change.
     void largeConfigurationFitsTheLog()
     {
         std::string text;
@@ -81,7 +81,7 @@
         CPPUNIT_ASSERT_EQUAL(text, decodeControlState(image).value().view().configuration.text);
     }
 
-    void digestIgnoresTheTimeOnly()
+    void digestIgnoresOnlyTheTime()
     {
         const auto digestOf = [](int at, std::uint32_t weight) {
             const state::TableRow row{.weight = weight};
@@ -94,10 +94,10 @@
         CPPUNIT_ASSERT(digestOf(1, 5) != digestOf(1, 6));
     }
 
-    void damagedCommandsDoNoHarm()
+    void corruptCommandsAreHandledSafely()
     {
-        // Every cut, and many flipped bits: refused or read as some other command, which a state
-        // then has to take without harm.
+        // Truncated commands are rejected. Commands with a flipped bit are rejected or decode to
+        // some other command, which the state must apply safely.
         std::mt19937_64 random(7);
         control::ControlState state;
         std::uint64_t index = 0;
@@ -108,16 +108,16 @@
                         decodeCommand(std::string_view(bytes).substr(0, length)).has_error());
             CPPUNIT_ASSERT(decodeCommand(bytes + "x").has_error());
             for (int round = 0; round < 400; ++round) {
-                std::string damaged = bytes;
-                damaged[random() % bytes.size()] ^= static_cast<char>(1U << (random() % 8U));
-                const auto decoded = decodeCommand(damaged);
+                std::string corrupted = bytes;
+                corrupted[random() % bytes.size()] ^= static_cast<char>(1U << (random() % 8U));
+                const auto decoded = decodeCommand(corrupted);
                 if (decoded)
                     state.apply({1, ++index}, decoded.value());
             }
         }
     }
 
-    void damagedSnapshotsDoNoHarm()
+    void corruptSnapshotsAreHandledSafely()
     {
         control::ControlState state;
         std::uint64_t index = 0;
@@ -130,9 +130,10 @@
                     decodeControlState(std::string_view(bytes).substr(0, length)).has_error());
         std::mt19937_64 random(8);
         for (int round = 0; round < 2'000; ++round) {
-            std::string damaged = bytes;
-            damaged[random() % bytes.size()] ^= static_cast<char>(1U << (random() % 8U));
-            (void)decodeControlState(damaged); // a record's checksum tells; here it must not crash
+            std::string corrupted = bytes;
+            corrupted[random() % bytes.size()] ^= static_cast<char>(1U << (random() % 8U));
+            // This must not crash; in a real log, the record's checksum detects the corruption.
+            (void)decodeControlState(corrupted);
         }
     }
 };
--- a/tests/protocol/FeedEncoderTest.cpp
+++ b/tests/protocol/FeedEncoderTest.cpp
@@ -1,4 +1,4 @@
-// Changes of the control view between a control member and an entry.
+// Tests how changes of the control view are sent from a control member to an entry.
 #include "protocol/FeedEncoder.h"
 
 #include "protocol/TextPatch.h"
@@ -27,7 +27,7 @@
     state.apply({1, index}, control::ReplaceConfiguration{{version, std::move(text)}});
 }
 
-std::size_t bytesOf(const FeedContent &content)
+std::size_t contentBytes(const FeedContent &content)
 {
     std::size_t bytes = content.configuration ? content.configuration->bytes.size() : 0;
     for (const std::string &page : content.pages)
@@ -47,18 +47,18 @@
 class FeedEncoderTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(FeedEncoderTest);
-    CPPUNIT_TEST(changedWeightDoesNotCostTheWholeConfiguration);
-    CPPUNIT_TEST(entryWithoutAConfigurationIsSentAllOfIt);
-    CPPUNIT_TEST(entryFarBehindIsSentAllOfIt);
-    CPPUNIT_TEST(patchForAnotherConfigurationIsRefused);
-    CPPUNIT_TEST(spoiltPatchIsRefused);
+    CPPUNIT_TEST(changedWeightDoesNotResendConfiguration);
+    CPPUNIT_TEST(entryWithoutConfigurationIsSentFullText);
+    CPPUNIT_TEST(entryFarBehindIsSentFullText);
+    CPPUNIT_TEST(patchForAnotherConfigurationIsRejected);
+    CPPUNIT_TEST(corruptPatchIsRejected);
     CPPUNIT_TEST(changesOfOtherKindsCarryNoPatch);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Guards against control members that can't keep up, and lose their term, while large
-    // configurations change one after the other.
-    void changedWeightDoesNotCostTheWholeConfiguration()
+    // Guards against control members that can't keep up with a series of changes to large
+    // configurations and therefore lose leadership.
+    void changedWeightDoesNotResendConfiguration()
     {
         control::ControlState state;
         FeedEncoder encoder;
@@ -68,14 +68,14 @@
         encoder.note(state.view());
         accept(state, 11, 4, after);
         const FeedContent &content = encoder.contentFor(state, {10, 3});
-        CPPUNIT_ASSERT(bytesOf(content) < after.size() / 100);
+        CPPUNIT_ASSERT(contentBytes(content) < after.size() / 100);
         const auto pages = decodeFeedContent(content, {3, before});
         CPPUNIT_ASSERT(pages.has_value());
         CPPUNIT_ASSERT(onlyConfiguration(pages.value())
                        == (control::ConfigurationDocument{4, after}));
     }
 
-    void entryWithoutAConfigurationIsSentAllOfIt()
+    void entryWithoutConfigurationIsSentFullText()
     {
         control::ControlState state;
         FeedEncoder encoder;
@@ -85,7 +85,7 @@
         CPPUNIT_ASSERT_EQUAL(text, onlyConfiguration(pages.value()).text);
     }
 
-    void entryFarBehindIsSentAllOfIt()
+    void entryFarBehindIsSentFullText()
     {
         control::ControlState state;
         FeedEncoder encoder;
@@ -99,8 +99,8 @@
         CPPUNIT_ASSERT_EQUAL(documentOf(40, 500, 90), onlyConfiguration(pages.value()).text);
     }
 
-    // Guards against an entry that puts a mixture of two configurations in force.
-    void patchForAnotherConfigurationIsRefused()
+    // Guards against an entry that applies a mixture of two configurations.
+    void patchForAnotherConfigurationIsRejected()
     {
         control::ControlState state;
         FeedEncoder encoder;
@@ -114,14 +114,14 @@
         CPPUNIT_ASSERT(sameVersion.error().code == state::ErrorCode::Corrupt);
     }
 
-    void spoiltPatchIsRefused()
+    void corruptPatchIsRejected()
     {
         const std::string base = documentOf(3, 500, 90);
         const std::string patch = makeTextPatch(base, documentOf(4, 500, 10));
         for (std::size_t at = 0; at < patch.size(); ++at) {
-            std::string spoilt = patch;
-            spoilt[at] = static_cast<char>(spoilt[at] ^ 0x20);
-            const auto text = applyTextPatch(base, spoilt, 1U << 20U);
+            std::string corrupt = patch;
+            corrupt[at] = static_cast<char>(corrupt[at] ^ 0x20);
+            const auto text = applyTextPatch(base, corrupt, 1U << 20U);
             CPPUNIT_ASSERT(!text || text.value() == documentOf(4, 500, 10));
             CPPUNIT_ASSERT(!applyTextPatch(base, patch.substr(0, at), 1U << 20U));
         }
--- a/tests/protocol/GossipMessagesTest.cpp
+++ b/tests/protocol/GossipMessagesTest.cpp
@@ -1,4 +1,4 @@
-// Contract of the gossip datagram: round trip, size bounds, and refusal of all else.
+// Tests gossip datagrams: round trips, size bounds, and rejection of malformed datagrams.
 #include "protocol/GossipMessages.h"
 
 #include "protocol/Envelope.h"
@@ -90,8 +90,8 @@
     return message;
 }
 
-// Descriptions are compared by value, so not with the messages' own pointers.
-std::string flat(const membership::GossipMessage &message)
+// Encodes the message, so that descriptions are compared by value and not by pointer.
+std::string encoded(const membership::GossipMessage &message)
 {
     return sealGossip(keys, message).value();
 }
@@ -102,23 +102,23 @@
 {
     CPPUNIT_TEST_SUITE(GossipMessagesTest);
     CPPUNIT_TEST(roundTripsWithinTheSizeBound);
-    CPPUNIT_TEST(refusesForgedAndDamagedDatagrams);
-    CPPUNIT_TEST(refusesWhatDoesNotFit);
+    CPPUNIT_TEST(rejectsForgedAndCorruptDatagrams);
+    CPPUNIT_TEST(rejectsOversizedMessages);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     void roundTripsWithinTheSizeBound()
     {
-        // The state machine fills datagrams by its size bound; were it too low, full ones would
-        // silently be dropped.
+        // The state machine fills datagrams up to its own size estimate. If the estimate were too
+        // low, full datagrams would be dropped silently.
         std::mt19937_64 random(1);
         for (int round = 0; round < 500; ++round) {
             const membership::GossipMessage message = anyMessage(random);
-            const std::string datagram = flat(message);
+            const std::string datagram = encoded(message);
             CPPUNIT_ASSERT(datagram.size() <= membership::wireBytes(message) + sealBytes);
             const auto decoded = unsealGossip(keys, datagram);
             CPPUNIT_ASSERT(decoded.has_value());
-            CPPUNIT_ASSERT(flat(decoded.value()) == datagram);
+            CPPUNIT_ASSERT(encoded(decoded.value()) == datagram);
             CPPUNIT_ASSERT(decoded.value().loads == message.loads);
             for (std::size_t index = 0; index < message.endpointRecords.size(); ++index)
                 CPPUNIT_ASSERT(decoded.value().endpointRecords[index]
@@ -126,16 +126,16 @@
         }
     }
 
-    void refusesForgedAndDamagedDatagrams()
+    void rejectsForgedAndCorruptDatagrams()
     {
         std::mt19937_64 random(2);
         for (int round = 0; round < 300; ++round) {
             const membership::GossipMessage message = anyMessage(random);
-            std::string datagram = flat(message);
+            std::string datagram = encoded(message);
             CPPUNIT_ASSERT(unsealGossip(SealKeys{{"other"}}, datagram).error().code
                            == state::ErrorCode::Unauthorized);
-            // With the right key but damaged inside, as a faulty member might send it: any value
-            // may come out, but decoding ends and keeps within its bounds.
+            // A faulty member may seal a corrupted message with the right key. It may decode to any
+            // value, but decoding must terminate and stay within its bounds.
             std::string inside = datagram.substr(0, datagram.size() - sealBytes);
             for (int flips = 0; flips < 3; ++flips)
                 inside[random() % inside.size()] = static_cast<char>(random());
@@ -147,7 +147,7 @@
         }
     }
 
-    void refusesWhatDoesNotFit()
+    void rejectsOversizedMessages()
     {
         std::mt19937_64 random(3);
         membership::GossipMessage message = anyMessage(random);
--- a/tests/protocol/HostileInputTest.cpp
+++ b/tests/protocol/HostileInputTest.cpp
@@ -1,6 +1,6 @@
-// Bodies and messages from outside, damaged in a thousand ways from fixed seeds: each is refused by
-// the documented error or read as something; none crashes, hangs or asks for much memory (the
-// sanitizer build watches that).
+// Decodes request bodies and messages that are corrupted at random with fixed seeds. Each is either
+// rejected with the documented error or decoded to some value, without a crash, a hang or a large
+// allocation (the sanitizer build checks this).
 #include "coordination/quota/QuotaNode.h"
 #include "coordination/quota/ShareNode.h"
 #include "protocol/Completion.h"
@@ -23,10 +23,11 @@
 
 namespace {
 
-constexpr int damagesPerInput = 1'500;
+constexpr int corruptionsPerInput = 1'500;
 
-// One damage of the kinds that links, proxies and broken programs do.
-std::string damage(std::string text, std::mt19937_64 &random)
+// Applies one to three random corruptions of the kinds caused by links, proxies and faulty
+// programs.
+std::string corrupt(std::string text, std::mt19937_64 &random)
 {
     static const std::vector<std::string> pieces{"[[[[[[[[", "{\"a\":{\"a\":{",       "-1",
                                                  "1e999",    "18446744073709551616",  "null",
@@ -55,13 +56,13 @@
     return text;
 }
 
-void forEachDamage(const std::string &good, std::uint64_t seed,
-                   const std::function<void(const std::string &)> &take)
+void forEachCorruption(const std::string &good, std::uint64_t seed,
+                       const std::function<void(const std::string &)> &check)
 {
     std::mt19937_64 random(seed);
-    take("");
-    for (int round = 0; round < damagesPerInput; ++round)
-        take(damage(good, random));
+    check("");
+    for (int round = 0; round < corruptionsPerInput; ++round)
+        check(corrupt(good, random));
 }
 
 template <typename Value>
@@ -91,14 +92,14 @@
 class HostileInputTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(HostileInputTest);
-    CPPUNIT_TEST(quotaMessagesComeBackWhole);
-    CPPUNIT_TEST(damagedQuotaMessagesAreTakenOrRefused);
-    CPPUNIT_TEST(damagedEndpointBodiesAreRefused);
-    CPPUNIT_TEST(damagedCompletionsAreRefused);
+    CPPUNIT_TEST(quotaMessagesRoundTrip);
+    CPPUNIT_TEST(corruptQuotaMessagesAreAcceptedOrRejected);
+    CPPUNIT_TEST(corruptEndpointBodiesAreRejected);
+    CPPUNIT_TEST(corruptCompletionsAreRejected);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void quotaMessagesComeBackWhole()
+    void quotaMessagesRoundTrip()
     {
         const QuotaMessage quota = quotaMessage();
         CPPUNIT_ASSERT(decode<QuotaMessage>(encode(quota)).value() == quota);
@@ -109,9 +110,9 @@
         CPPUNIT_ASSERT(decode<ShareMessage>(encode(share)).value() == share);
     }
 
-    // Sealed messages come only from holders of the key, but one of those may be broken. What can
-    // be read goes on into a node, which must stand it.
-    void damagedQuotaMessagesAreTakenOrRefused()
+    // Only holders of the key can seal messages, but one of them may be faulty. Messages that can
+    // be decoded are passed to a node, which must tolerate them.
+    void corruptQuotaMessagesAreAcceptedOrRejected()
     {
         const state::Instant now{std::chrono::seconds(100)};
         QuotaNode node(state::VmId("entry-0"), 9, {}, now);
@@ -125,7 +126,7 @@
         QuotaMessage good = quotaMessage();
         good.asks[0].key = good.asks[1].key = good.grants[0].key = good.holdings[0].key = key;
         int read = 0;
-        forEachDamage(encode(good), 1, [&](const std::string &bytes) {
+        forEachCorruption(encode(good), 1, [&](const std::string &bytes) {
             const auto message = decode<QuotaMessage>(bytes);
             if (message.has_error()) {
                 CPPUNIT_ASSERT(message.error().code == ErrorCode::Corrupt
@@ -142,7 +143,7 @@
         CPPUNIT_ASSERT(node.view(key, now).running <= 10);
     }
 
-    void damagedEndpointBodiesAreRefused()
+    void corruptEndpointBodiesAreRejected()
     {
         const std::string announcement =
                 R"({"id":"e1","address":"10.0.0.1:80","kind":"engine","failure_domain":"a",)"
@@ -150,14 +151,14 @@
                 R"("prefill_tokens_per_second":5.5,"decode_tokens_per_second":50,)"
                 R"("honours_fencing":true})";
         CPPUNIT_ASSERT(parseAnnouncement(announcement).has_value());
-        forEachDamage(announcement, 2, [](const std::string &body) {
+        forEachCorruption(announcement, 2, [](const std::string &body) {
             assertErrorIs(parseAnnouncement(body), ErrorCode::InvalidArgument);
         });
         const std::string load =
                 R"({"incarnation":7,"sequence":3,"running_requests":1,"waiting_requests":2,)"
                 R"("waiting_prefill_tokens":30,"kv_used_tokens":40})";
         CPPUNIT_ASSERT(parseLoadReport(state::EndpointId("e1"), load).has_value());
-        forEachDamage(load, 3, [](const std::string &body) {
+        forEachCorruption(load, 3, [](const std::string &body) {
             assertErrorIs(parseLoadReport(state::EndpointId("e1"), body),
                           ErrorCode::InvalidArgument);
         });
@@ -165,13 +166,13 @@
                 R"({"incarnation":7,"first_sequence":12,"events":[{"op":"stored","block":)"
                 R"("00000000000000ff","tokens":256},{"op":"cleared"}]})";
         CPPUNIT_ASSERT(parseCacheEvents(events).has_value());
-        forEachDamage(events, 4, [](const std::string &body) {
+        forEachCorruption(events, 4, [](const std::string &body) {
             assertErrorIs(parseCacheEvents(body), ErrorCode::InvalidArgument);
             assertErrorIs(parseLeave(body), ErrorCode::InvalidArgument);
         });
     }
 
-    void damagedCompletionsAreRefused()
+    void corruptCompletionsAreRejected()
     {
         const std::string text = R"({"model":"m1","prompt":"hello there","max_tokens":5,)"
                                  R"("stream":true})";
@@ -180,13 +181,13 @@
         CPPUNIT_ASSERT(parseCompletion(CompletionKind::Chat, chat).has_value());
         const std::string line = R"({"offset":3,"token":"w0001 "})";
         CPPUNIT_ASSERT(parseEngineLine(line).has_value());
-        forEachDamage(text, 5, [](const std::string &body) {
+        forEachCorruption(text, 5, [](const std::string &body) {
             assertErrorIs(parseCompletion(CompletionKind::Text, body), ErrorCode::InvalidArgument);
         });
-        forEachDamage(chat, 6, [](const std::string &body) {
+        forEachCorruption(chat, 6, [](const std::string &body) {
             assertErrorIs(parseCompletion(CompletionKind::Chat, body), ErrorCode::InvalidArgument);
         });
-        forEachDamage(line, 7, [](const std::string &body) {
+        forEachCorruption(line, 7, [](const std::string &body) {
             assertErrorIs(parseEngineLine(body), ErrorCode::Corrupt);
         });
     }
--- a/tests/protocol/PeerNewsTest.cpp
+++ b/tests/protocol/PeerNewsTest.cpp
@@ -1,4 +1,4 @@
-// What entries tell each other of work in progress, as datagrams.
+// Tests the datagrams in which entries send each other updates about work in progress.
 #include "protocol/PeerNews.h"
 
 #include <cppunit/TestFixture.h>
@@ -13,9 +13,9 @@
 class PeerNewsTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(PeerNewsTest);
-    CPPUNIT_TEST(eachStageArrivesWithWhatItNeeds);
-    CPPUNIT_TEST(noteOfALongPromptFitsALinksQueue);
-    CPPUNIT_TEST(newsOfAnotherFormAreRefused);
+    CPPUNIT_TEST(notesOfAllStagesRoundTrip);
+    CPPUNIT_TEST(noteForLongPromptFitsLinkQueue);
+    CPPUNIT_TEST(updatesInAnotherFormatAreRejected);
     CPPUNIT_TEST_SUITE_END();
 
     const SealKeys keys{{"one-key"}};
@@ -48,13 +48,13 @@
     {
         const auto datagrams = sealPeerNews(this->keys, {note});
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), datagrams.size());
-        const auto news = unsealPeerNews(this->keys, datagrams.front());
-        CPPUNIT_ASSERT(news.has_value());
-        return std::get<WorkNote>(news.value().front());
+        const auto updates = unsealPeerNews(this->keys, datagrams.front());
+        CPPUNIT_ASSERT(updates.has_value());
+        return std::get<WorkNote>(updates.value().front());
     }
 
 public:
-    void eachStageArrivesWithWhatItNeeds()
+    void notesOfAllStagesRoundTrip()
     {
         CPPUNIT_ASSERT(roundTrip(dispatched(16)) == dispatched(16));
         CPPUNIT_ASSERT(roundTrip(dispatched(0)) == dispatched(0));
@@ -74,18 +74,18 @@
         CPPUNIT_ASSERT(roundTrip(waiting) == waiting);
     }
 
-    void noteOfALongPromptFitsALinksQueue()
+    void noteForLongPromptFitsLinkQueue()
     {
-        // 116 peers are told of a prompt that 17 engines prefill, and a link of 14 Mbit/s holds
-        // 30,000 bytes. With ids in it each note had 480.
+        // A note about a prompt that 17 engines prefill is sent to 116 peers, and the queue of a
+        // 14 Mbit/s link holds 30,000 bytes. With ids instead of keys, each note took 480 bytes.
         constexpr std::size_t headers = 28;
-        const std::size_t most = 30'000 / 116 - headers;
-        CPPUNIT_ASSERT(sealPeerNews(this->keys, {dispatched(16)}).front().size() <= most);
+        const std::size_t maxBytes = 30'000 / 116 - headers;
+        CPPUNIT_ASSERT(sealPeerNews(this->keys, {dispatched(16)}).front().size() <= maxBytes);
     }
 
-    void newsOfAnotherFormAreRefused()
+    void updatesInAnotherFormatAreRejected()
     {
-        // While a new version is rolled out, nodes of the one before send notes of another layout.
+        // During a rollout, nodes of the previous version send notes with another layout.
         const std::string sealed = seal(this->keys, "peer-news", "anything");
         CPPUNIT_ASSERT(unsealPeerNews(this->keys, sealed).has_error());
     }
--- a/tests/protocol/SealTest.cpp
+++ b/tests/protocol/SealTest.cpp
@@ -1,4 +1,5 @@
-// Contract of the message seal: rotation is seamless, everything else is refused.
+// Tests the message seal: key rotation doesn't interrupt traffic; any other difference between
+// sender and receiver is rejected.
 #include "protocol/Seal.h"
 
 #include <cppunit/TestFixture.h>
@@ -10,7 +11,7 @@
 {
     CPPUNIT_TEST_SUITE(SealTest);
     CPPUNIT_TEST(acceptsEveryKeyDuringRotation);
-    CPPUNIT_TEST(refusesChangesOtherKeysAndOtherUses);
+    CPPUNIT_TEST(rejectsModificationsOtherKeysAndOtherContexts);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -25,7 +26,7 @@
                              unseal(after, "gossip", seal(during, "gossip", "hello")).value());
     }
 
-    void refusesChangesOtherKeysAndOtherUses()
+    void rejectsModificationsOtherKeysAndOtherContexts()
     {
         const SealKeys keys{{"key"}};
         const std::string sealed = seal(keys, "gossip", "hello");
