--- a/bench/FleetRun.cpp
+++ b/bench/FleetRun.cpp
@@ -201,7 +201,7 @@
             if (peer != entry)
                 this->schedule(this->plan.profile.betweenDomains,
                                [this, peer, note = backlog->note] {
-                                   this->deliver(peer, admission::PeerBacklogNoted{note});
+                                   this->deliver(peer, admission::PeerBacklogReceived{note});
                                });
         }
     }
@@ -275,8 +275,9 @@
             continue;
         const state::Duration way = this->transfer(this->entries[entry].failureDomain,
                                                    this->entries[peer].failureDomain);
-        this->schedule(way,
-                       [this, peer, note] { this->deliver(peer, admission::PeerWorkNoted{note}); });
+        this->schedule(way, [this, peer, note] {
+            this->deliver(peer, admission::PeerWorkReceived{note});
+        });
     }
 }
 
--- a/bench/PassEngine.cpp
+++ b/bench/PassEngine.cpp
@@ -103,10 +103,10 @@
     for (const Writer &writer : this->writing)
         context += writer.context;
     // Without decoding requests a pass is one step.
-    const double steps = this->writing.empty() ? 1 : double(this->profile.stridePerPass);
+    const double steps = this->writing.empty() ? 1 : double(this->profile.stepsPerPass);
     const double decode =
             state::routes::decodePassSeconds(this->profile, double(this->writing.size()), context)
-            * steps / double(this->profile.stridePerPass);
+            * steps / double(this->profile.stepsPerPass);
     const double reading = this->readSome(steps * double(this->profile.stepTokens));
     this->prefilled += reading;
     this->decoded += this->writing.empty() ? 0 : decode;
--- a/bench/PassFleetRun.cpp
+++ b/bench/PassFleetRun.cpp
@@ -292,12 +292,12 @@
     wanted.workClass = state::WorkClass(asked.name);
     wanted.model = state::ModelName("model");
     wanted.promptTokens = request.tokens;
-    wanted.maximumOutputTokens = request.events * this->plan.profile.stridePerPass;
+    wanted.maximumOutputTokens = request.events * this->plan.profile.stepsPerPass;
     wanted.arrival = arrival;
     wanted.deadline = request.deadline;
-    wanted.firstTarget = asked.firstTarget;
-    wanted.pause = asked.pause;
-    wanted.attempts = 2;
+    wanted.firstEventTarget = asked.firstTarget;
+    wanted.toleratedPause = asked.pause;
+    wanted.attemptLimit = 2;
     this->handle(request.entry, admission::RequestArrived{wanted});
 }
 
@@ -350,7 +350,7 @@
                      std::bernoulli_distribution lost(this->plan.noteLoss);
                      for (std::size_t peer = 0; peer < this->plan.entries; ++peer) {
                          if (peer != entry && !lost(this->losses))
-                             this->handle(peer, admission::PeerWorkNoted{note});
+                             this->handle(peer, admission::PeerWorkReceived{note});
                      }
                  });
     }
--- a/bench/PassPlans.cpp
+++ b/bench/PassPlans.cpp
@@ -15,12 +15,12 @@
     plan.policy.reservationTtl = milliseconds(3'500);
     plan.profile = {.slots = 16,
                     .kvCapacityTokens = 450'000,
-                    .stridePerPass = 46,
+                    .stepsPerPass = 46,
                     .stepMs = 0.925,
-                    .sequenceStepMs = 0.00483,
-                    .contextStepMs = 0.00254,
+                    .stepMsPerSequence = 0.00483,
+                    .stepMsPerThousandContextTokens = 0.00254,
                     .prefillTokensPerSecond = 256'000,
-                    .pairsMs = 0.0917,
+                    .msPerMillionPairs = 0.0917,
                     .stepTokens = 2'048,
                     .reportLagMs = 200};
     plan.classes = {
@@ -44,7 +44,7 @@
     plan.engines = 69;
     plan.entries = 117;
     plan.profile.slots = 12;
-    plan.profile.stridePerPass = 52;
+    plan.profile.stepsPerPass = 52;
     plan.classes = {
             {"narrative", 118, 4'960, 0.9, 23'800, 33, milliseconds(300), milliseconds(200),
              milliseconds(10'000), 1.3, 0.33},
@@ -62,12 +62,12 @@
     plan.entries = 13;
     plan.profile = {.slots = 16,
                     .kvCapacityTokens = 232'000,
-                    .stridePerPass = 43,
+                    .stepsPerPass = 43,
                     .stepMs = 1.02,
-                    .sequenceStepMs = 0.00226,
-                    .contextStepMs = 0.00431,
+                    .stepMsPerSequence = 0.00226,
+                    .stepMsPerThousandContextTokens = 0.00431,
                     .prefillTokensPerSecond = 206'000,
-                    .pairsMs = 0.138,
+                    .msPerMillionPairs = 0.138,
                     .stepTokens = 2'048,
                     .reportLagMs = 200};
     plan.classes = {
@@ -87,7 +87,7 @@
     plan.engines = 69;
     plan.entries = 114;
     plan.profile.slots = 12;
-    plan.profile.stridePerPass = 48;
+    plan.profile.stepsPerPass = 48;
     plan.classes = {
             {"tagging", 115, 4'960, 0.9, 23'800, 31, milliseconds(300), milliseconds(250),
              milliseconds(10'000), 1.3, 0.33},
@@ -157,12 +157,12 @@
     plan.noteLoss = draw.even(0, 0.03);
     plan.profile.slots = std::uint32_t(draw.scaled(6, 32));
     plan.profile.kvCapacityTokens = std::uint64_t(draw.scaled(150'000, 600'000));
-    plan.profile.stridePerPass = std::uint32_t(draw.even(30, 60));
+    plan.profile.stepsPerPass = std::uint32_t(draw.even(30, 60));
     plan.profile.stepMs = draw.scaled(0.6, 1.5);
-    plan.profile.sequenceStepMs = draw.scaled(0.002, 0.006);
-    plan.profile.contextStepMs = draw.scaled(0.002, 0.005);
+    plan.profile.stepMsPerSequence = draw.scaled(0.002, 0.006);
+    plan.profile.stepMsPerThousandContextTokens = draw.scaled(0.002, 0.005);
     plan.profile.prefillTokensPerSecond = draw.scaled(120'000, 400'000);
-    plan.profile.pairsMs = draw.scaled(0.05, 0.2);
+    plan.profile.msPerMillionPairs = draw.scaled(0.05, 0.2);
     const double pass = state::routes::decodePassSeconds(plan.profile, 1, 0) * 1'000;
     const auto kinds = plan.classes.size();
     const std::vector<double> tokens = {draw.scaled(2'000, 8'000), draw.scaled(25'000, 60'000),
--- a/bench/decision-bench.cpp
+++ b/bench/decision-bench.cpp
@@ -141,9 +141,9 @@
             entry.handle(admission::RequestFinished{dispatch->id, dispatch->attempt}, now);
             lifetime += Clock::now() - second;
         }
-        note.work = number;
+        note.requestHash = number;
         note.lifetime = std::chrono::seconds(3);
-        const admission::Event peer = admission::PeerWorkNoted{note};
+        const admission::Event peer = admission::PeerWorkReceived{note};
         const auto third = Clock::now();
         entry.handle(peer, now);
         peerNote += Clock::now() - third;
@@ -154,7 +154,7 @@
     backlog.waitingTokens.fill(std::uint64_t(1) << 50U);
     backlog.waitingWeight = 1;
     for (std::uint32_t number = 0; number < requests; ++number) {
-        entry.handle(admission::PeerBacklogNoted{backlog}, now);
+        entry.handle(admission::PeerBacklogReceived{backlog}, now);
         auto request = requestOf(requests + number, sizes, now);
         request.deadline = now + state::Duration(1);
         const admission::Event arrived = admission::RequestArrived{std::move(request)};
--- a/bench/gossip-bench.cpp
+++ b/bench/gossip-bench.cpp
@@ -1,7 +1,7 @@
 // Cost and speed of gossip by fleet size, in one process and virtual time: bytes a second,
 // processor time and memory of a node, and how long a change takes to be known to all. usage:
 // gossip-bench [--json] [--nodes N --replicas N]
-#include "coordination/endpoints/EndpointLife.h"
+#include "coordination/endpoints/EndpointLifecycle.h"
 #include "coordination/membership/GossipFleet.h"
 #include "coordination/ownership/OwnerRing.h"
 #include "program/MembershipView.h"
@@ -103,7 +103,7 @@
                 all.endpointRecords.push_back(endpointRecord(replica, replica % this->size.nodes));
             this->fleet.at(node).receive(all, {}, this->fleet.now());
         }
-        this->ring = ownership::OwnerRing::of(this->fleet.at(0).members());
+        this->ring = ownership::OwnerRing::fromMembers(this->fleet.at(0).members());
         this->received.resize(this->size.nodes);
         this->fleet.observer = [this](const GossipFleet::Delivery &delivery) {
             const std::size_t bytes =
@@ -198,8 +198,8 @@
     const double began = processorSeconds();
     for (int repeat = 0; repeat < repeats; ++repeat) {
         Membership machine = before;
-        auto life = endpoints::EndpointLife::create({}, machine.self(), start).value();
-        auto ring = ownership::OwnerRing::of(machine.members());
+        auto life = endpoints::EndpointLifecycle::create({}, machine.self(), start).value();
+        auto ring = ownership::OwnerRing::fromMembers(machine.members());
         const auto perform = [&](const membership::GossipActions &actions) {
             for (const membership::GossipSend &send : actions.sends)
                 sink += protocol::sealGossip(keys, send.message).value().size();
@@ -216,7 +216,7 @@
             perform(machine.tick(now));
             if (ticks % 10 != 0)
                 continue;
-            ring = ownership::OwnerRing::of(machine.members());
+            ring = ownership::OwnerRing::fromMembers(machine.members());
             sink += life.tick({machine.endpointTable(), machine.members(), ring}, now).size();
             const auto members = std::make_shared<const membership::MemberTable>(machine.members());
             sink += members->entries().size();
@@ -226,7 +226,7 @@
                                           now));
         }
         // As if the endpoints had changed once in the time; at the planned size it is less often.
-        sink += program::EndpointsView::of(machine.endpointTable(), ring).endpoints.size();
+        sink += program::EndpointsView::fromTable(machine.endpointTable(), ring).endpoints.size();
     }
     const double used = processorSeconds() - began;
     return sink == 0 ? -1 : used / (repeats * static_cast<double>(time.count()));
@@ -251,11 +251,11 @@
     }
     for (std::size_t replica = 0; replica < own.replicas; ++replica)
         machine.publish(endpointRecord(replica, replica % own.nodes), fleet.now());
-    auto life = endpoints::EndpointLife::create({}, machine.self(), fleet.now()).value();
-    const auto ring = ownership::OwnerRing::of(machine.members());
+    auto life = endpoints::EndpointLifecycle::create({}, machine.self(), fleet.now()).value();
+    const auto ring = ownership::OwnerRing::fromMembers(machine.members());
     life.tick({machine.endpointTable(), machine.members(), ring}, fleet.now());
-    const auto view = program::EndpointsView::of(machine.endpointTable(), ring);
-    const auto olderView = program::EndpointsView::of(machine.endpointTable(), ring);
+    const auto view = program::EndpointsView::fromTable(machine.endpointTable(), ring);
+    const auto olderView = program::EndpointsView::fromTable(machine.endpointTable(), ring);
     const membership::MemberTable members = machine.members();
     const membership::MemberTable olderMembers = machine.members();
     const std::size_t after = mallinfo2().uordblks;
@@ -311,7 +311,7 @@
     loaded.fleet.kill(1);
     return inSeconds(loaded.fleet.runUntil(
             [&] {
-                return loaded.fleet.seeing(1, membership::MemberHealth::Dead) == size.nodes - 1;
+                return loaded.fleet.countViews(1, membership::MemberHealth::Dead) == size.nodes - 1;
             },
             seconds(120)));
 }
@@ -346,7 +346,7 @@
         worst.sentHighest = std::max(worst.sentHighest, traffic.sentHighest);
         worst.receivedHighest = std::max(worst.receivedHighest, traffic.receivedHighest);
         const bool all = std::all_of(dead.begin(), dead.end(), [&](std::size_t node) {
-            return loaded.fleet.seeing(node, membership::MemberHealth::Dead)
+            return loaded.fleet.countViews(node, membership::MemberHealth::Dead)
                    == size.nodes - dead.size();
         });
         known = all ? inSeconds(loaded.fleet.now() - start) : -1;
--- a/bench/pass-bench.cpp
+++ b/bench/pass-bench.cpp
@@ -68,30 +68,30 @@
 {
     using Settings = coordination::routing::PassPlacementSettings;
     static const std::map<std::string, Member> all = {
-            {"briefPlaceShare", &Settings::briefPlaceShare},
-            {"briefPlaceShareCrowded", &Settings::briefPlaceShareCrowded},
-            {"briefBusyShare", &Settings::briefBusyShare},
+            {"briefPlaceShare", &Settings::briefSlotShare},
+            {"briefPlaceShareCrowded", &Settings::briefSlotShareCrowded},
+            {"briefBusyShare", &Settings::briefTargetShare},
             {"startPartShare", &Settings::startPartShare},
             {"briefPauseShare", &Settings::briefPauseShare},
-            {"tightPauses", &Settings::tightPauses},
-            {"longsBesideBriefs", &Settings::longsBesideBriefs},
-            {"besideBriefPauseShare", &Settings::besideBriefPauseShare},
-            {"besideDecodingPasses", &Settings::besideDecodingPasses},
-            {"fewBriefs", &Settings::fewBriefs},
-            {"besideTightPart", &Settings::besideTightPart},
-            {"evenSeconds", &Settings::evenSeconds},
+            {"tightPauses", &Settings::tightPauseFactor},
+            {"longsBesideBriefs", &Settings::longRequestsPerBriefEngine},
+            {"besideBriefPauseShare", &Settings::briefEnginePauseShare},
+            {"besideDecodingPasses", &Settings::decodingDelayPasses},
+            {"fewBriefs", &Settings::ignoredBriefRequests},
+            {"besideTightPart", &Settings::tightPauseMaxPartSeconds},
+            {"evenSeconds", &Settings::equalLoadSeconds},
             {"longSecondsPerEngine", &Settings::longSecondsPerEngine},
-            {"longEnginesBeside", &Settings::longEnginesBeside},
-            {"demandMemorySeconds", &Settings::demandMemorySeconds},
-            {"helperSeconds", &Settings::helperSeconds},
-            {"besideTightSeconds", &Settings::besideTightSeconds},
-            {"outsideAnsweringSeconds", &Settings::outsideAnsweringSeconds},
+            {"longEnginesBeside", &Settings::extraLongEngines},
+            {"demandMemorySeconds", &Settings::demandAveragingSeconds},
+            {"helperSeconds", &Settings::helperCostSeconds},
+            {"besideTightSeconds", &Settings::tightPauseCostSeconds},
+            {"outsideAnsweringSeconds", &Settings::outsideAnsweringCostSeconds},
             {"answeringMemoryShare", &Settings::answeringMemoryShare},
-            {"startShare", &Settings::startShare},
+            {"startShare", &Settings::startEngineShare},
             {"startWaitingSeconds", &Settings::startWaitingSeconds},
             {"startOwnWaitingSeconds", &Settings::startOwnWaitingSeconds},
-            {"waitingShare", &Settings::waitingShare},
-            {"longPerEngine", &Settings::longPerEngine},
+            {"waitingShare", &Settings::maxWaitingShare},
+            {"longPerEngine", &Settings::longRequestsPerEngine},
     };
     return all;
 }
@@ -119,12 +119,12 @@
 {
     static const std::map<std::string, std::function<void(PassPlan &)>> all = {
             {"passes", [](PassPlan &) {}},
-            {"no-helpers", [](PassPlan &plan) { plan.policy.passes.mostHelpers = 0; }},
+            {"no-helpers", [](PassPlan &plan) { plan.policy.passes.maxHelpers = 0; }},
             {"at-once",
              [](PassPlan &plan) {
-                 plan.policy.passes.startShare = 0;
+                 plan.policy.passes.startEngineShare = 0;
                  plan.policy.passes.startWaitingSeconds = 10;
-                 plan.policy.passes.partsPerHelper = 100;
+                 plan.policy.passes.maxPartsPerHelper = 100;
              }},
             {"alone", [](PassPlan &plan) { plan.policy.shareWork = false; }},
             {"predicted", [](PassPlan &plan) { plan.declareProfile = false; }},
--- a/bench/peer-news-bench.cpp
+++ b/bench/peer-news-bench.cpp
@@ -1,6 +1,6 @@
 // Size and processor time of the datagrams in which entries tell each other of work in progress.
 // Prints one line a batch size; docs/CAPACITY.md takes its slopes from here.
-#include "protocol/PeerNews.h"
+#include "protocol/PeerUpdate.h"
 
 #include <chrono>
 #include <cstdio>
@@ -19,18 +19,18 @@
     constexpr int rounds = 20'000;
     std::printf("notes  datagrams  bytes  bytes a note  seal and open us a note\n");
     for (const std::size_t count : {1U, 5U, 20U, 80U}) {
-        const std::vector<protocol::PeerNews> news(count, note);
+        const std::vector<protocol::PeerUpdate> news(count, note);
         std::size_t bytes = 0;
         std::size_t datagrams = 0;
         const auto start = std::chrono::steady_clock::now();
         const int repeats = rounds / static_cast<int>(count);
         for (int round = 0; round < repeats; ++round) {
-            const auto sealed = protocol::sealPeerNews(keys, news);
+            const auto sealed = protocol::sealPeerUpdates(keys, news);
             bytes = 0;
             datagrams = sealed.size();
             for (const std::string &datagram : sealed) {
                 bytes += datagram.size();
-                if (!protocol::unsealPeerNews(keys, datagram))
+                if (!protocol::unsealPeerUpdates(keys, datagram))
                     return 1;
             }
         }
--- a/bench/quota-bench.cpp
+++ b/bench/quota-bench.cpp
@@ -132,7 +132,7 @@
         this->quotas.emplace_back(vm(entry), 1, coordination::quota::QuotaSettings{}, this->now);
         this->quotas.back().configure(this->roster, std::chrono::hours(1), this->now);
         this->shares.emplace_back(vm(entry));
-        this->shares.back().setLive(this->roster.entries);
+        this->shares.back().setLiveEntries(this->roster.entries);
     }
     this->placeAccounts();
     this->heapBytes = static_cast<double>(mallinfo2().uordblks - before);
@@ -199,7 +199,7 @@
         const Instant deadline = this->now + requestDeadline;
         const auto verdict =
                 quota.tryStart(spot.key, tokensPerSecondOfRequest / 4, deadline, this->now);
-        if (verdict != coordination::quota::QuotaVerdict::Started)
+        if (verdict != coordination::quota::QuotaResult::Started)
             break;
         spot.running.push_back(deadline);
     }
--- a/src/coordination/admission/Dispatcher.cpp
+++ b/src/coordination/admission/Dispatcher.cpp
@@ -22,7 +22,7 @@
     , policy(settings)
     , hooks(std::move(dispatcherHooks))
     , engines(this->self.value(), settings, this->hooks.fleet, seed)
-    , retries(settings.retryShare, settings.retryBurst)
+    , retryBudget(settings.retryShare, settings.retryBurst)
 {}
 
 std::vector<Action> Dispatcher::handle(const Event &event, state::Instant at)
@@ -39,170 +39,172 @@
     const auto consider = [&wake](state::Instant at) { wake = wake ? std::min(*wake, at) : at; };
     if (!this->deadlines.empty())
         consider(this->deadlines.begin()->first);
-    if (this->queue.size() > 0 || this->longQueue.hasOwn())
+    if (this->queue.size() > 0 || this->longPromptQueue.hasOwn())
         consider(this->now + queuePollPeriod);
     if (this->backlogShared)
         consider(this->backlogSharedAt + backlogSharePeriod);
-    for (const state::RequestId &id : this->spans)
-        consider(this->flights.at(id).renewAt);
+    for (const state::RequestId &id : this->reservationHolders)
+        consider(this->activeRequests.at(id).renewAt);
     return wake;
 }
 
 void Dispatcher::on(const RequestArrived &event)
 {
     const CompletionRequest &request = event.request;
-    if (this->flights.contains(request.id))
+    if (this->activeRequests.contains(request.id))
         return;
-    const LengthClass lengthClass = this->classOf(request.promptTokens);
-    this->engines.notePause(request.model, request.pause, this->now);
-    if (const std::optional<Refuse> refusal = this->refusalOf(request, lengthClass)) {
-        ++this->tally.refused;
+    const LengthClass lengthClass = this->lengthClassOf(request.promptTokens);
+    this->engines.notePause(request.model, request.toleratedPause, this->now);
+    if (const std::optional<Refuse> refusal = this->admissionRefusal(request, lengthClass)) {
+        ++this->counters.refused;
         this->actions.emplace_back(*refusal);
         return;
     }
-    ++this->tally.admitted;
-    Flight active;
+    ++this->counters.admitted;
+    ActiveRequest active;
     active.request = request;
-    active.work = workOf(request.id);
+    active.requestHash = requestHashOf(request.id);
     active.lengthClass = lengthClass;
-    active.span = this->needsSpan(request);
+    active.usesSpan = this->needsSpan(request);
     this->deadlines.emplace(request.deadline, request.id);
-    Flight &stored = this->flights.emplace(request.id, std::move(active)).first->second;
+    ActiveRequest &stored =
+            this->activeRequests.emplace(request.id, std::move(active)).first->second;
     this->enqueue(stored, false);
-    this->pump();
+    this->placeWaiting();
 }
 
 void Dispatcher::on(const CallerCancelled &event)
 {
-    this->end(event.id);
-    this->pump();
+    this->endRequest(event.id);
+    this->placeWaiting();
 }
 
 void Dispatcher::on(const SlicePrefilled &event)
 {
-    Flight *active = this->current(event.id, event.attempt);
+    ActiveRequest *active = this->findAttempt(event.id, event.attempt);
     if (active == nullptr || active->phase != Phase::Prefilling)
         return;
-    routing::SpanPart &part = active->plan.parts[active->running];
-    part.done = std::clamp(event.upTo, part.done, part.to);
+    routing::SpanPart &part = active->plan.parts[active->currentPart];
+    part.prefilledTo = std::clamp(event.upTo, part.prefilledTo, part.to);
     this->dispatchNext(*active);
-    this->pump();
+    this->placeWaiting();
 }
 
 void Dispatcher::on(const TokensReceived &event)
 {
-    Flight *active = this->current(event.id, event.attempt);
+    ActiveRequest *active = this->findAttempt(event.id, event.attempt);
     if (active == nullptr)
         return;
-    active->received = std::max(active->received, event.nextOffset);
+    active->receivedTokens = std::max(active->receivedTokens, event.nextOffset);
     if (active->phase != Phase::Prefilling)
         return;
     active->phase = Phase::Decoding;
-    routing::SpanPart &part = active->plan.parts[active->running];
-    part.done = part.to;
-    this->tell(*active, active->running, routing::WorkStage::Decoding);
-    this->pump();
+    routing::SpanPart &part = active->plan.parts[active->currentPart];
+    part.prefilledTo = part.to;
+    this->shareWorkNote(*active, active->currentPart, routing::WorkStage::Decoding);
+    this->placeWaiting();
 }
 
 void Dispatcher::on(const RequestFinished &event)
 {
-    const Flight *active = this->current(event.id, event.attempt);
+    const ActiveRequest *active = this->findAttempt(event.id, event.attempt);
     if (active == nullptr)
         return;
-    ++this->tally.finished;
-    this->retries.succeeded();
+    ++this->counters.finished;
+    this->retryBudget.addSuccess();
     // The engine has already freed the stream, so endRequest() must not cancel it.
-    this->flights.at(event.id).handedOver = false;
-    this->end(event.id);
-    this->pump();
+    this->activeRequests.at(event.id).dispatched = false;
+    this->endRequest(event.id);
+    this->placeWaiting();
 }
 
 void Dispatcher::on(const TableChanged &event)
 {
     for (const state::TableRow &row : event.rows)
         this->queue.setRow(row);
-    this->pump();
+    this->placeWaiting();
 }
 
 void Dispatcher::on(const Tick &)
 {
     while (!this->deadlines.empty() && this->deadlines.begin()->first <= this->now) {
         const state::RequestId id = this->deadlines.begin()->second;
-        const Ran ran = this->flights.at(id).handedOver ? Ran::Unknown : Ran::No;
-        ++this->tally.expired;
+        const Ran ran = this->activeRequests.at(id).dispatched ? Ran::Unknown : Ran::No;
+        ++this->counters.expired;
         this->actions.emplace_back(Expire{id, ran});
-        this->end(id);
+        this->endRequest(id);
     }
-    for (const state::RequestId &id : this->spans) {
-        Flight &active = this->flights.at(id);
+    for (const state::RequestId &id : this->reservationHolders) {
+        ActiveRequest &active = this->activeRequests.at(id);
         if (active.renewAt <= this->now)
-            this->renew(active);
+            this->renewReservations(active);
     }
-    this->refuseHopeless();
-    this->pump();
-    this->shareWaiting();
+    this->refuseOverdue();
+    this->placeWaiting();
+    this->shareWaitingPrompts();
     this->shareBacklog();
 }
 
-Dispatcher::Flight *Dispatcher::current(const state::RequestId &id, std::uint32_t attempt)
+Dispatcher::ActiveRequest *Dispatcher::findAttempt(const state::RequestId &id,
+                                                   std::uint32_t attempt)
 {
-    const auto found = this->flights.find(id);
+    const auto found = this->activeRequests.find(id);
     // Late events of an abandoned attempt are ignored: another engine runs the request now, and
     // counting both would mix two streams.
-    if (found == this->flights.end() || found->second.attempt != attempt)
+    if (found == this->activeRequests.end() || found->second.attempt != attempt)
         return nullptr;
     return &found->second;
 }
 
 // Every request ends here, so that no reservation, limit or work on an engine is left behind.
-void Dispatcher::end(const state::RequestId &id)
+void Dispatcher::endRequest(const state::RequestId &id)
 {
-    const auto found = this->flights.find(id);
-    if (found == this->flights.end())
+    const auto found = this->activeRequests.find(id);
+    if (found == this->activeRequests.end())
         return;
-    Flight &active = found->second;
+    ActiveRequest &active = found->second;
     if (active.phase == Phase::Queued) {
-        if (const auto prompt = this->longQueue.findOwn(active.work))
-            this->tellWaiting(active, *prompt, routing::WorkStage::Ended);
+        if (const auto prompt = this->longPromptQueue.findOwn(active.requestHash))
+            this->sendWaitingNote(active, *prompt, routing::WorkStage::Ended);
         this->dequeue(active);
     }
     const bool onEngine = active.phase == Phase::Prefilling || active.phase == Phase::Decoding;
     if (onEngine) {
-        if (active.handedOver) {
-            this->actions.emplace_back(
-                    CancelOnEngine{id, active.attempt, active.plan.parts[active.running].engine});
+        if (active.dispatched) {
+            this->actions.emplace_back(CancelOnEngine{
+                    id, active.attempt, active.plan.parts[active.currentPart].engine});
         }
-        this->tell(active, active.running, routing::WorkStage::Ended);
+        this->shareWorkNote(active, active.currentPart, routing::WorkStage::Ended);
     }
-    this->giveBack(active);
+    this->releaseReservations(active);
     if (this->hooks.releaseLimit)
-        this->hooks.releaseLimit(active.request, active.received, this->now);
+        this->hooks.releaseLimit(active.request, active.receivedTokens, this->now);
     this->deadlines.erase({active.request.deadline, id});
-    this->flights.erase(found);
+    this->activeRequests.erase(found);
 }
 
-std::uint64_t Dispatcher::workOf(const state::RequestId &id)
+std::uint64_t Dispatcher::requestHashOf(const state::RequestId &id)
 {
     return XXH3_64bits(id.value().data(), id.value().size());
 }
 
 // Asks the queues instead of isLong(): the model's engines may have left, or may work in another
 // way, since the request was queued.
-void Dispatcher::dequeue(const Flight &active)
+void Dispatcher::dequeue(const ActiveRequest &active)
 {
-    if (this->longQueue.findOwn(active.work))
-        this->longQueue.remove(active.work);
+    if (this->longPromptQueue.findOwn(active.requestHash))
+        this->longPromptQueue.remove(active.requestHash);
     else
-        this->queue.remove(this->queuedOf(active));
+        this->queue.remove(this->queuedRequestOf(active));
 }
 
 void Dispatcher::refuse(const state::RequestId &id, RefusalReason reason,
                         state::Duration retryAfter)
 {
-    const Ran ran = this->flights.at(id).handedOver ? Ran::Unknown : Ran::No;
-    ++this->tally.refused;
+    const Ran ran = this->activeRequests.at(id).dispatched ? Ran::Unknown : Ran::No;
+    ++this->counters.refused;
     this->actions.emplace_back(Refuse{id, reason, retryAfter, ran});
-    this->end(id);
+    this->endRequest(id);
 }
 
 void Dispatcher::shareBacklog()
@@ -216,8 +218,8 @@
     BacklogNote note;
     note.entry = this->self;
     note.leastService = this->queue.leastService(this->now).value_or(0);
-    for (std::size_t each = 0; each < lengthClasses; ++each)
-        note.waitingTokens[each] = this->queue.tokensUpTo(LengthClass(each));
+    for (std::size_t each = 0; each < lengthClassCount; ++each)
+        note.waitingTokens[each] = this->queue.waitingTokensUpTo(LengthClass(each));
     note.waitingWeight = this->queue.weightWaiting();
     this->actions.emplace_back(ShareBacklog{note});
 }
--- a/src/coordination/admission/Dispatcher.h
+++ b/src/coordination/admission/Dispatcher.h
@@ -8,7 +8,7 @@
 
 #include "coordination/admission/Events.h"
 #include "coordination/admission/FairQueue.h"
-#include "coordination/admission/LongQueue.h"
+#include "coordination/admission/LongPromptQueue.h"
 #include "coordination/admission/RetryBudget.h"
 #include "coordination/routing/Fleet.h"
 #include "coordination/routing/PolicySettings.h"
@@ -57,50 +57,50 @@
     std::optional<state::Instant> nextWake() const;
 
     std::size_t waiting() const { return this->queue.size(); }
-    std::size_t inFlight() const { return this->flights.size(); }
-    const DispatcherCounts &counts() const { return this->tally; }
+    std::size_t inFlight() const { return this->activeRequests.size(); }
+    const DispatcherCounts &counts() const { return this->counters; }
     const routing::Fleet &fleet() const { return this->engines; }
 
 private:
     enum class Phase : std::uint8_t { Queued, Reserving, Prefilling, Decoding };
 
     // A request from its admission until its end, queued or on an engine.
-    struct Flight
+    struct ActiveRequest
     {
         CompletionRequest request;
-        std::uint64_t work = 0;
+        std::uint64_t requestHash = 0;
         LengthClass lengthClass = LengthClass::Short;
         Phase phase = Phase::Queued;
-        routing::SpanPlan plan;  // has a single part if one engine holds the prompt
-        bool span = false;       // several engines hold it; each part needs a reservation
-        std::size_t running = 0; // index of the plan's part that is on an engine now
+        routing::SpanPlan plan;      // has a single part if one engine holds the prompt
+        bool usesSpan = false;       // several engines hold it; each part needs a reservation
+        std::size_t currentPart = 0; // index of the plan's part that is on an engine now
         std::uint32_t attempt = 0;
-        std::uint32_t received = 0; // output tokens that the caller has received
-        bool handedOver = false;    // an engine may be running it or may have run it
-        state::Instant notBefore{}; // earliest time of the next placement
-        state::Instant renewAt{};   // when its reservations are renewed
-        state::FailureDomain avoid; // of the engine that failed last
+        std::uint32_t receivedTokens = 0;   // output tokens that the caller has received
+        bool dispatched = false;            // an engine may be running it or may have run it
+        state::Instant notBefore{};         // earliest time of the next placement
+        state::Instant renewAt{};           // when its reservations are renewed
+        state::FailureDomain avoidedDomain; // of the engine that failed last
         // Used only on engines that work in passes.
         std::vector<state::EndpointId> helpers;
         double partSeconds = 0; // prefill time at the engine and at each helper
-        state::Duration predictedFirst{0};
-        routing::PassLook look;
-        std::vector<state::EndpointId> failed; // one for each failed attempt
-        std::uint32_t runs = 0;                // failed attempts that may have executed it
-        bool moving = false;                   // the retry budget has paid for its next attempt
+        state::Duration predictedFirstEvent{0};
+        routing::PlacementSnapshot placementSnapshot;
+        std::vector<state::EndpointId> failedEngines; // one for each failed attempt
+        std::uint32_t runs = 0;                       // failed attempts that may have executed it
+        bool retryPaid = false; // the retry budget has paid for its next attempt
 
         // KV memory at one of the first helpers, for a prompt that its engine can't hold.
-        struct Ticket
+        struct HelperReservation
         {
             routing::MemoryShare share;
             std::string lease;
             bool granted = false;
         };
-        std::vector<Ticket> tickets;
+        std::vector<HelperReservation> helperReservations;
 
-        bool needs(const state::EndpointId &engine) const;
+        bool dependsOn(const state::EndpointId &engine) const;
     };
-    using Flights = std::unordered_map<state::RequestId, Flight>;
+    using ActiveRequests = std::unordered_map<state::RequestId, ActiveRequest>;
 
     // Dispatcher.cpp: request lifecycle
     void on(const RequestArrived &event);
@@ -110,8 +110,8 @@
     void on(const RequestFinished &event);
     void on(const TableChanged &event);
     void on(const Tick &event);
-    Flight *current(const state::RequestId &id, std::uint32_t attempt);
-    void end(const state::RequestId &id);
+    ActiveRequest *findAttempt(const state::RequestId &id, std::uint32_t attempt);
+    void endRequest(const state::RequestId &id);
     void refuse(const state::RequestId &id, RefusalReason reason, state::Duration retryAfter);
     void shareBacklog();
 
@@ -122,80 +122,86 @@
     void on(const EngineSuspected &event);
     void on(const LoadReported &event);
     void on(const CacheReported &event);
-    void on(const PeerWorkNoted &event);
-    void on(const PeerBacklogNoted &event);
+    void on(const PeerWorkReceived &event);
+    void on(const PeerBacklogReceived &event);
     void on(const AttemptFailed &event);
-    void on(const MoveAsked &event);
-    bool isExhausted(const Flight &active) const;
-    void attemptLost(Flight &active, const state::EndpointId &engine, bool didNotRun,
-                     bool engineLost);
+    void on(const MoveRequested &event);
+    bool isExhausted(const ActiveRequest &active) const;
+    void handleAttemptLoss(ActiveRequest &active, const state::EndpointId &engine, bool didNotRun,
+                           bool engineLost);
     // Fills in the fields of a note about dispatched work.
-    void describe(const Flight &active, std::size_t part, routing::WorkNote &note) const;
+    void fillDispatchNote(const ActiveRequest &active, std::size_t part,
+                          routing::WorkNote &note) const;
     // Applies a work note to this entry's own view and sends it to the peers.
-    void tell(const Flight &active, std::size_t part, routing::WorkStage stage,
-              std::uint32_t prefillTokens = 0, std::uint32_t chargedTokens = 0,
-              std::uint8_t priority = 0);
+    void shareWorkNote(const ActiveRequest &active, std::size_t part, routing::WorkStage stage,
+                       std::uint32_t prefillTokens = 0, std::uint32_t chargedTokens = 0,
+                       std::uint8_t priority = 0);
 
     // DispatcherPlacing.cpp: admission and placement
-    std::optional<Refuse> refusalOf(const CompletionRequest &request, LengthClass lengthClass);
-    double waitSeconds(const CompletionRequest &request, LengthClass lengthClass) const;
-    void pump();
-    bool place(Flight &active, bool aheadOfShare);
-    void dispatchNext(Flight &active);
-    std::uint8_t priorityOf(const Flight &active) const;
+    std::optional<Refuse> admissionRefusal(const CompletionRequest &request,
+                                           LengthClass lengthClass);
+    double expectedWaitSeconds(const CompletionRequest &request, LengthClass lengthClass) const;
+    void placeWaiting();
+    bool place(ActiveRequest &active, bool aheadOfShare);
+    void dispatchNext(ActiveRequest &active);
+    std::uint8_t priorityOf(const ActiveRequest &active) const;
     routing::ChoiceQuery queryOf(const CompletionRequest &request, std::uint8_t priority) const;
     bool needsSpan(const CompletionRequest &request) const;
-    LengthClass classOf(std::uint32_t promptTokens) const;
-    QueuedRequest queuedOf(const Flight &active) const;
-    void enqueue(Flight &active, bool front);
+    LengthClass lengthClassOf(std::uint32_t promptTokens) const;
+    QueuedRequest queuedRequestOf(const ActiveRequest &active) const;
+    void enqueue(ActiveRequest &active, bool front);
     double idealSeconds(const CompletionRequest &request) const;
 
     // DispatcherPasses.cpp: engines that work in declared passes
     std::optional<Refuse> refusalByPasses(const CompletionRequest &request);
-    bool placeByPasses(Flight &active);
+    bool placeByPasses(ActiveRequest &active);
     std::optional<Refuse> briefRefusal(const CompletionRequest &request);
     std::optional<Refuse> longRefusal(const CompletionRequest &request,
-                                      const routing::LongOutlook &outlook, double secondsBefore);
-    std::optional<Refuse> refusalWhenOver(const CompletionRequest &request,
-                                          state::Duration overrun) const;
+                                      const routing::LongPromptEstimate &outlook,
+                                      double secondsBefore);
+    std::optional<Refuse> refusalIfLate(const CompletionRequest &request,
+                                        state::Duration overrun) const;
     bool isLong(const CompletionRequest &request) const;
-    WaitingPrompt waitingOf(const Flight &active) const;
-    void pumpLong();
-    void refuseHopeless();
-    state::Duration waitingPatience(const Flight &active, state::Duration defaultWait) const;
-    void shareWaiting();
-    void tellWaiting(const Flight &active, const WaitingPrompt &prompt, routing::WorkStage stage);
-    void dequeue(const Flight &active);                      // from the queue that holds it
-    static std::uint64_t workOf(const state::RequestId &id); // identifies the request in work notes
+    WaitingPrompt waitingPromptOf(const ActiveRequest &active) const;
+    void placeLongPrompts();
+    void refuseOverdue();
+    state::Duration maximumWaitOf(const ActiveRequest &active, state::Duration defaultWait) const;
+    void shareWaitingPrompts();
+    void sendWaitingNote(const ActiveRequest &active, const WaitingPrompt &prompt,
+                         routing::WorkStage stage);
+    void dequeue(const ActiveRequest &active); // from the queue that holds it
+    static std::uint64_t
+    requestHashOf(const state::RequestId &id); // identifies the request in work notes
     routing::PassRequest passRequestOf(const CompletionRequest &request) const;
-    void reserveTickets(Flight &active, const std::vector<routing::MemoryShare> &memory);
-    void ticketAnswered(Flight &active, const ReservationAnswered &event);
-    void releaseTickets(Flight &active);
-    std::uint32_t partTokens(const Flight &active) const;
-    void applyNote(const routing::WorkNote &note);
+    void reserveHelperMemory(ActiveRequest &active,
+                             const std::vector<routing::MemoryShare> &memory);
+    void handleHelperReservationAnswer(ActiveRequest &active, const ReservationAnswered &event);
+    void releaseHelperMemory(ActiveRequest &active);
+    std::uint32_t equivalentPartTokens(const ActiveRequest &active) const;
+    void applyWorkNote(const routing::WorkNote &note);
 
     // DispatcherSpans.cpp: reservations
     void on(const ReservationAnswered &event);
-    bool placeSpan(Flight &active);
-    void reserveNext(Flight &active);
-    void giveBack(Flight &active);
-    void renew(Flight &active);
-    std::uint32_t partMemory(const Flight &active, std::size_t part) const;
-    std::string leaseOf(const Flight &active, std::size_t part) const;
+    bool placeSpan(ActiveRequest &active);
+    void reserveNext(ActiveRequest &active);
+    void releaseReservations(ActiveRequest &active);
+    void renewReservations(ActiveRequest &active);
+    std::uint32_t partMemoryTokens(const ActiveRequest &active, std::size_t part) const;
+    std::string leaseOf(const ActiveRequest &active, std::size_t part) const;
 
     state::VmId self;
     routing::PolicySettings policy;
     DispatcherHooks hooks;
     routing::Fleet engines;
     FairQueue queue;
-    LongQueue longQueue; // own and peers' long prompts; for engines that work in passes
-    state::Instant longSharedAt{};
-    RetryBudget retries;
-    Flights flights;
+    LongPromptQueue longPromptQueue; // own and peers' long prompts; for engines that work in passes
+    state::Instant waitingPromptsSharedAt{};
+    RetryBudget retryBudget;
+    ActiveRequests activeRequests;
     std::set<std::pair<state::Instant, state::RequestId>> deadlines; // one for each request
-    std::set<state::RequestId> spans; // requests whose reservations must be renewed
-    std::map<state::VmId, std::pair<BacklogNote, state::Instant>> peers; // with expiry time
-    DispatcherCounts tally;
+    std::set<state::RequestId> reservationHolders; // requests whose reservations must be renewed
+    std::map<state::VmId, std::pair<BacklogNote, state::Instant>> peerBacklogs; // with expiry time
+    DispatcherCounts counters;
     state::Instant now{};
     state::Instant backlogSharedAt{};
     bool backlogShared = false;
--- a/src/coordination/admission/DispatcherTickets.cpp
+++ b/src/coordination/admission/DispatcherHelperMemory.cpp
@@ -25,23 +25,27 @@
 
 } // namespace
 
-void Dispatcher::reserveTickets(Flight &active, const std::vector<routing::MemoryShare> &memory)
+void Dispatcher::reserveHelperMemory(ActiveRequest &active,
+                                     const std::vector<routing::MemoryShare> &memory)
 {
     active.phase = Phase::Reserving;
     active.renewAt = this->now + this->policy.reservationTtl / renewalsPerTtl;
     for (const routing::MemoryShare &share : memory) {
-        const std::string lease = leaseName(active.work, active.attempt, active.tickets.size());
-        active.tickets.push_back({share, lease, false});
+        const std::string lease =
+                leaseName(active.requestHash, active.attempt, active.helperReservations.size());
+        active.helperReservations.push_back({share, lease, false});
         this->actions.emplace_back(Reserve{active.request.id, share.engine, lease, share.tokens,
                                            this->policy.reservationTtl});
     }
-    this->spans.insert(active.request.id);
+    this->reservationHolders.insert(active.request.id);
 }
 
-void Dispatcher::ticketAnswered(Flight &active, const ReservationAnswered &event)
+void Dispatcher::handleHelperReservationAnswer(ActiveRequest &active,
+                                               const ReservationAnswered &event)
 {
-    const auto reservation = std::ranges::find(active.tickets, event.lease, &Flight::Ticket::lease);
-    if (reservation == active.tickets.end()) {
+    const auto reservation = std::ranges::find(active.helperReservations, event.lease,
+                                               &ActiveRequest::HelperReservation::lease);
+    if (reservation == active.helperReservations.end()) {
         // It belongs to an earlier attempt; nobody needs its memory.
         if (event.granted)
             this->actions.emplace_back(Release{event.id, event.engine, event.lease});
@@ -52,33 +56,35 @@
         return;
     if (event.granted) {
         reservation->granted = true;
-        if (std::ranges::all_of(active.tickets, &Flight::Ticket::granted))
+        if (std::ranges::all_of(active.helperReservations,
+                                &ActiveRequest::HelperReservation::granted))
             this->dispatchNext(active);
         return;
     }
     // All or nothing: holding a part while waiting for the rest would starve other requests.
-    this->releaseTickets(active);
+    this->releaseHelperMemory(active);
     active.plan = {};
     active.helpers.clear();
-    const state::Duration maximumWait = this->waitingPatience(active, active.request.firstTarget);
+    const state::Duration maximumWait =
+            this->maximumWaitOf(active, active.request.firstEventTarget);
     if (this->now - active.request.arrival > maximumWait) {
         this->refuse(active.request.id, RefusalReason::Overload, retryWhenReserved);
     } else {
         active.notBefore = this->now + this->policy.reservationRetry;
         this->enqueue(active, true);
     }
-    this->pump();
+    this->placeWaiting();
 }
 
 // Also releases reservations without an answer: they may still be granted.
-void Dispatcher::releaseTickets(Flight &active)
+void Dispatcher::releaseHelperMemory(ActiveRequest &active)
 {
-    for (const Flight::Ticket &reservation : active.tickets)
+    for (const ActiveRequest::HelperReservation &reservation : active.helperReservations)
         this->actions.emplace_back(
                 Release{active.request.id, reservation.share.engine, reservation.lease});
-    if (!active.tickets.empty())
-        this->spans.erase(active.request.id);
-    active.tickets.clear();
+    if (!active.helperReservations.empty())
+        this->reservationHolders.erase(active.request.id);
+    active.helperReservations.clear();
 }
 
 } // namespace lavenderthread::coordination::admission
--- a/src/coordination/admission/DispatcherPasses.cpp
+++ b/src/coordination/admission/DispatcherPasses.cpp
@@ -26,9 +26,9 @@
 
 // Helpers without reserved memory are needed for the prefill only: the decoding engine keeps the KV
 // that they computed.
-bool Dispatcher::Flight::needs(const state::EndpointId &engine) const
+bool Dispatcher::ActiveRequest::dependsOn(const state::EndpointId &engine) const
 {
-    if (this->plan.uses(engine))
+    if (this->plan.usesEngine(engine))
         return true;
     return this->phase == Phase::Prefilling
            && std::ranges::find(this->helpers, engine) != this->helpers.end();
@@ -40,8 +40,9 @@
     passRequest.promptTokens = request.promptTokens;
     passRequest.outputTokens = request.maximumOutputTokens * this->policy.expectedOutputShare;
     passRequest.memoryTokens = request.promptTokens + request.maximumOutputTokens;
-    passRequest.firstTargetSeconds = std::chrono::duration<double>(request.firstTarget).count();
-    passRequest.draw = workOf(request.id);
+    passRequest.firstEventTargetSeconds =
+            std::chrono::duration<double>(request.firstEventTarget).count();
+    passRequest.tieBreaker = requestHashOf(request.id);
     return passRequest;
 }
 
@@ -49,10 +50,11 @@
 {
     if (!this->isLong(request))
         return this->briefRefusal(request);
-    const routing::LongOutlook outlook =
-            this->engines.longOutlook(request.model, this->passRequestOf(request), this->now);
-    const WaitingPrompt prompt{workOf(request.id), outlook.engineSeconds, request.arrival};
-    return this->longRefusal(request, outlook, this->longQueue.secondsBefore(prompt, this->now));
+    const routing::LongPromptEstimate outlook = this->engines.estimateLongPrompt(
+            request.model, this->passRequestOf(request), this->now);
+    const WaitingPrompt prompt{requestHashOf(request.id), outlook.engineSeconds, request.arrival};
+    return this->longRefusal(request, outlook,
+                             this->longPromptQueue.secondsBefore(prompt, this->now));
 }
 
 std::optional<Refuse> Dispatcher::briefRefusal(const CompletionRequest &request)
@@ -65,22 +67,22 @@
             toDuration(choice->completionSeconds) - (request.deadline - this->now);
     // Counted from now, not from arrival: a request that waited for the configuration or for
     // engines is late already, and idle engines should still serve it.
-    if (request.firstTarget > state::Duration(0)) {
+    if (request.firstEventTarget > state::Duration(0)) {
         const state::Duration bound = std::chrono::duration_cast<state::Duration>(
-                request.firstTarget * this->policy.lateTolerance);
+                request.firstEventTarget * this->policy.lateTolerance);
         overrun = std::max(overrun, toDuration(choice->firstEventSeconds) - bound);
     }
-    std::optional<Refuse> refusal = this->refusalWhenOver(request, overrun);
+    std::optional<Refuse> refusal = this->refusalIfLate(request, overrun);
     if (refusal) {
-        refusal->predictedFirst = toDuration(choice->firstEventSeconds);
-        refusal->look = choice->look;
+        refusal->predictedFirstEvent = toDuration(choice->firstEventSeconds);
+        refusal->placementSnapshot = choice->placementSnapshot;
     }
     return refusal;
 }
 
 // `secondsBefore`: engine time in seconds of the waiting prompts that go first.
 std::optional<Refuse> Dispatcher::longRefusal(const CompletionRequest &request,
-                                              const routing::LongOutlook &outlook,
+                                              const routing::LongPromptEstimate &outlook,
                                               double secondsBefore)
 {
     if (outlook.engines == 0)
@@ -90,24 +92,24 @@
     const state::Duration first = start + toDuration(outlook.prefillSeconds);
     const state::Duration whole = first + toDuration(outlook.completionSeconds);
     state::Duration overrun = whole - (request.deadline - this->now);
-    if (request.firstTarget > state::Duration(0)) {
+    if (request.firstEventTarget > state::Duration(0)) {
         const auto startLimit = std::chrono::duration_cast<state::Duration>(
-                request.firstTarget * this->policy.passes.waitingShare);
+                request.firstEventTarget * this->policy.passes.maxWaitingShare);
         overrun = std::max(overrun, start - startLimit);
     }
     // The delay is longer than the backlog needs to drain: by then the load that is too high for a
     // long prompt has rarely gone away.
     if (overrun <= state::Duration(0))
         return std::nullopt;
-    std::optional<Refuse> refusal = this->refusalWhenOver(request, overrun * 2 + longRetryAfter);
-    refusal->predictedFirst = first;
+    std::optional<Refuse> refusal = this->refusalIfLate(request, overrun * 2 + longRetryAfter);
+    refusal->predictedFirstEvent = first;
     refusal->queuedSeconds = secondsBefore;
-    refusal->look = outlook.look;
+    refusal->placementSnapshot = outlook.placementSnapshot;
     return refusal;
 }
 
-std::optional<Refuse> Dispatcher::refusalWhenOver(const CompletionRequest &request,
-                                                  state::Duration overrun) const
+std::optional<Refuse> Dispatcher::refusalIfLate(const CompletionRequest &request,
+                                                state::Duration overrun) const
 {
     if (overrun <= state::Duration(0))
         return std::nullopt;
@@ -120,7 +122,7 @@
     return this->engines.isLong(request.model, request.promptTokens);
 }
 
-WaitingPrompt Dispatcher::waitingOf(const Flight &active) const
+WaitingPrompt Dispatcher::waitingPromptOf(const ActiveRequest &active) const
 {
     const routing::EngineView *view = nullptr;
     for (const state::EndpointId &id : this->engines.watched(active.request.model)) {
@@ -130,29 +132,30 @@
     }
     const double seconds =
             state::routes::prefillSeconds(*view->profile(), active.request.promptTokens);
-    return {active.work, seconds, active.request.arrival};
+    return {active.requestHash, seconds, active.request.arrival};
 }
 
 // Starts the prompt at the head of the queue as soon as engines are free for it. No prompt
 // overtakes it, or the longest ones would never find enough free engines.
-void Dispatcher::pumpLong()
+void Dispatcher::placeLongPrompts()
 {
-    while (const auto id = this->longQueue.head(this->now)) {
-        Flight &active = this->flights.at(*id);
+    while (const auto id = this->longPromptQueue.head(this->now)) {
+        ActiveRequest &active = this->activeRequests.at(*id);
         if (active.notBefore > this->now || !this->placeByPasses(active))
             return;
     }
 }
 
 // Refuses own prompts that have waited too long, behind others or because engines were lost.
-void Dispatcher::refuseHopeless()
+void Dispatcher::refuseOverdue()
 {
-    for (const auto &[id, prompt] : this->longQueue.own()) {
-        const Flight &active = this->flights.at(id);
+    for (const auto &[id, prompt] : this->longPromptQueue.ownPrompts()) {
+        const ActiveRequest &active = this->activeRequests.at(id);
         const CompletionRequest &request = active.request;
-        const bool hasTarget = request.firstTarget > state::Duration(0);
-        const state::Duration defaultWait = hasTarget ? request.firstTarget : longestRetryAfter;
-        if (this->now - request.arrival > this->waitingPatience(active, defaultWait))
+        const bool hasTarget = request.firstEventTarget > state::Duration(0);
+        const state::Duration defaultWait =
+                hasTarget ? request.firstEventTarget : longestRetryAfter;
+        if (this->now - request.arrival > this->maximumWaitOf(active, defaultWait))
             this->refuse(id, RefusalReason::Overload, retryWhenFull);
     }
 }
@@ -160,42 +163,44 @@
 // The longest wait, counted from arrival. A request that has run on an engine may wait until its
 // deadline: that engine's failure has made it late already, and its caller, who may have a part of
 // the response, disconnects when it no longer wants to wait.
-state::Duration Dispatcher::waitingPatience(const Flight &active, state::Duration defaultWait) const
+state::Duration Dispatcher::maximumWaitOf(const ActiveRequest &active,
+                                          state::Duration defaultWait) const
 {
     const bool hasRun = active.runs > 0;
     return hasRun ? active.request.deadline - active.request.arrival : defaultWait;
 }
 
 // Peers rank their own prompts against these, and forget those that are not announced again.
-void Dispatcher::shareWaiting()
+void Dispatcher::shareWaitingPrompts()
 {
-    if (!this->longQueue.hasOwn() || this->now < this->longSharedAt + waitingSharePeriod)
+    if (!this->longPromptQueue.hasOwn()
+        || this->now < this->waitingPromptsSharedAt + waitingSharePeriod)
         return;
-    this->longSharedAt = this->now;
-    for (const auto &[id, prompt] : this->longQueue.own())
-        this->tellWaiting(this->flights.at(id), prompt, routing::WorkStage::Waiting);
+    this->waitingPromptsSharedAt = this->now;
+    for (const auto &[id, prompt] : this->longPromptQueue.ownPrompts())
+        this->sendWaitingNote(this->activeRequests.at(id), prompt, routing::WorkStage::Waiting);
 }
 
-void Dispatcher::tellWaiting(const Flight &active, const WaitingPrompt &prompt,
-                             routing::WorkStage stage)
+void Dispatcher::sendWaitingNote(const ActiveRequest &active, const WaitingPrompt &prompt,
+                                 routing::WorkStage stage)
 {
     routing::WorkNote note;
     note.stage = stage;
-    note.work = active.work;
+    note.requestHash = active.requestHash;
     note.age = this->now - active.request.arrival;
-    note.engineTime = toDuration(prompt.engineSeconds);
+    note.prefillTime = toDuration(prompt.engineSeconds);
     if (this->policy.shareWork)
         this->actions.emplace_back(ShareWork{note});
 }
 
-bool Dispatcher::placeByPasses(Flight &active)
+bool Dispatcher::placeByPasses(ActiveRequest &active)
 {
     const CompletionRequest &request = active.request;
     routing::PassRequest passRequest = this->passRequestOf(request);
-    passRequest.avoid = active.failed;
+    passRequest.failedEngines = active.failedEngines;
     const auto choice = this->engines.chooseByPasses(request.model, passRequest, this->now);
     if (!choice && this->isLong(request)) {
-        if (this->longQueue.findOwn(active.work))
+        if (this->longPromptQueue.findOwn(active.requestHash))
             return false; // refuseOverdue() ends it when it has waited too long
         // It was brief when it was queued; callers that tolerate only shorter pauses came since.
         this->dequeue(active);
@@ -204,9 +209,10 @@
     }
     if (!choice) {
         // No engine has capacity. The request may wait as long as it can still be in time.
-        const state::Duration defaultWait =
-                request.firstTarget > state::Duration(0) ? request.firstTarget / 2 : retryWhenFull;
-        if (this->now - request.arrival < this->waitingPatience(active, defaultWait))
+        const state::Duration defaultWait = request.firstEventTarget > state::Duration(0)
+                                                    ? request.firstEventTarget / 2
+                                                    : retryWhenFull;
+        if (this->now - request.arrival < this->maximumWaitOf(active, defaultWait))
             return false;
         const bool none = this->engines.watched(request.model).empty();
         this->refuse(request.id, none ? RefusalReason::UnknownModel : RefusalReason::Overload,
@@ -217,19 +223,19 @@
     active.plan.parts = {{choice->engine, 0, request.promptTokens, 0, false}};
     active.helpers = choice->helpers;
     active.partSeconds = choice->partSeconds;
-    active.predictedFirst = toDuration(choice->firstEventSeconds);
-    active.look = choice->look;
+    active.predictedFirstEvent = toDuration(choice->firstEventSeconds);
+    active.placementSnapshot = choice->placementSnapshot;
     ++active.attempt;
     if (choice->memory.empty())
         this->dispatchNext(active);
     else
-        this->reserveTickets(active, choice->memory);
+        this->reserveHelperMemory(active, choice->memory);
     return true;
 }
 
 // The prefill time of a part, as the number of tokens that the engine prefills in that time if
 // attention pairs cost nothing: EngineView advances work at that rate.
-std::uint32_t Dispatcher::partTokens(const Flight &active) const
+std::uint32_t Dispatcher::equivalentPartTokens(const ActiveRequest &active) const
 {
     const routing::EngineView *view = this->engines.find(active.plan.parts.front().engine);
     if (view == nullptr)
@@ -237,16 +243,16 @@
     return std::uint32_t(active.partSeconds / view->prefillSeconds(1));
 }
 
-void Dispatcher::applyNote(const routing::WorkNote &note)
+void Dispatcher::applyWorkNote(const routing::WorkNote &note)
 {
     const bool dispatched = note.stage == routing::WorkStage::Dispatched;
     if (note.hasHelpers && !dispatched)
-        this->engines.helpOver(note.work, note.stage, this->now);
+        this->engines.completeHelperWork(note.requestHash, note.stage, this->now);
     if (routing::EngineView *view = this->engines.find(note.engine)) {
         view->apply(note, this->now);
         if (dispatched) {
             for (const state::ModelName &model : view->description().models)
-                this->engines.notePause(model, note.pause, this->now);
+                this->engines.notePause(model, note.toleratedPause, this->now);
             const double prefill = std::min(note.chargedTokens, note.prefillTokens);
             this->engines.noteDemand(*view, note.promptTokens, prefill, this->now);
         }
@@ -259,7 +265,7 @@
         const std::uint32_t memory =
                 index < note.helperMemory.size() ? note.helperMemory[index] : 0;
         if (routing::EngineView *view = this->engines.find(note.helpers[index]))
-            view->help(note, memory, this->now);
+            view->addHelperWork(note, memory, this->now);
     }
 }
 
--- a/src/coordination/admission/DispatcherPlacing.cpp
+++ b/src/coordination/admission/DispatcherPlacing.cpp
@@ -37,8 +37,8 @@
 
 } // namespace
 
-std::optional<Refuse> Dispatcher::refusalOf(const CompletionRequest &request,
-                                            LengthClass lengthClass)
+std::optional<Refuse> Dispatcher::admissionRefusal(const CompletionRequest &request,
+                                                   LengthClass lengthClass)
 {
     const auto refusal = [&request](RefusalReason reason, state::Duration after) {
         return Refuse{request.id, reason, after, Ran::No};
@@ -51,7 +51,7 @@
         return this->refusalByPasses(request);
     if (this->policy.admitByDeadline) {
         const double left = toSeconds(request.deadline - this->now);
-        const double waits = this->waitSeconds(request, lengthClass);
+        const double waits = this->expectedWaitSeconds(request, lengthClass);
         // The cheap lower bound first: under overload most refusals are decided here.
         double needed = this->idealSeconds(request);
         if (waits + needed > left)
@@ -59,7 +59,7 @@
         if (!this->needsSpan(request)) {
             routing::ChoiceQuery query = this->queryOf(request, 0);
             query.ignoreQueueLimit = true;
-            Flight probe;
+            ActiveRequest probe;
             probe.request = request;
             query.prompt.priority = this->priorityOf(probe);
             const std::optional<routing::Choice> best = this->engines.choose(query, this->now);
@@ -80,11 +80,12 @@
 
 // Expected time in the entries' queues before the request may start. Fair queueing bounds it by the
 // backlog of its own row over that row's share; the whole backlog drains at the fleet's rate.
-double Dispatcher::waitSeconds(const CompletionRequest &request, LengthClass lengthClass) const
+double Dispatcher::expectedWaitSeconds(const CompletionRequest &request,
+                                       LengthClass lengthClass) const
 {
     double peerTokens = 0;
     double weights = double(this->queue.weightWaiting());
-    for (const auto &[peer, backlog] : this->peers) {
+    for (const auto &[peer, backlog] : this->peerBacklogs) {
         if (backlog.second <= this->now)
             continue;
         peerTokens += double(backlog.first.waitingTokens[std::size_t(lengthClass)]);
@@ -93,24 +94,25 @@
     const double rate = this->engines.prefillRate(request.model);
     const state::TableKey key = request.tableKey();
     const double weight = this->queue.row(key).weight;
-    const double total = double(this->queue.tokensUpTo(lengthClass)) + peerTokens;
-    const double own = double(this->queue.tokensOf(key)) * std::max(weights, weight) / weight;
+    const double total = double(this->queue.waitingTokensUpTo(lengthClass)) + peerTokens;
+    const double own =
+            double(this->queue.waitingTokensOf(key)) * std::max(weights, weight) / weight;
     return std::min(total, own) / rate;
 }
 
-void Dispatcher::pump()
+void Dispatcher::placeWaiting()
 {
-    std::array<std::size_t, lengthClasses> failures{};
+    std::array<std::size_t, lengthClassCount> failures{};
     bool placed = true;
     while (placed && this->queue.size() > 0) {
         placed = false;
-        const double least = this->queue.leastAnywhere(this->now).value_or(0);
+        const double least = this->queue.leastServiceAnywhere(this->now).value_or(0);
         for (const QueueHead &head :
              this->queue.heads(headsPerGroup, this->policy.fairBurstTokens, this->now)) {
             std::size_t &failed = failures[std::size_t(head.request.lengthClass)];
             if (failed >= failuresPerClass)
                 continue;
-            Flight &active = this->flights.at(head.request.id);
+            ActiveRequest &active = this->activeRequests.at(head.request.id);
             const double weight = this->queue.row(head.request.key).weight;
             const bool aheadOfShare =
                     (head.service - least) * weight > this->policy.fairBurstTokens;
@@ -121,10 +123,10 @@
             ++failed;
         }
     }
-    this->pumpLong();
+    this->placeLongPrompts();
 }
 
-bool Dispatcher::place(Flight &active, bool aheadOfShare)
+bool Dispatcher::place(ActiveRequest &active, bool aheadOfShare)
 {
     const CompletionRequest &request = active.request;
     if (this->engines.worksInPasses(request.model))
@@ -142,15 +144,15 @@
         if (this->queue.tokensPerSecond(row.key, this->now) > rate * row.fleetShareMilli / milli)
             return false;
     }
-    if (active.span)
+    if (active.usesSpan)
         return this->placeSpan(active);
     routing::ChoiceQuery query = this->queryOf(request, this->priorityOf(active));
-    query.avoid = active.avoid;
+    query.avoidedDomain = active.avoidedDomain;
     const std::optional<routing::Choice> choice = this->engines.choose(query, this->now);
     if (!choice && request.promptTokens >= this->policy.spanFromTokens) {
         // No single engine can take all of it now; several together may.
-        active.span = this->placeSpan(active);
-        return active.span;
+        active.usesSpan = this->placeSpan(active);
+        return active.usesSpan;
     }
     if (!choice)
         return false;
@@ -160,7 +162,7 @@
     const double limit = toSeconds(this->policy.engineQueueLimit) * aheadQueueShare;
     if (aheadOfShare && this->policy.holdInEntry && choice->prediction.queueSeconds > limit)
         return false;
-    this->queue.remove(this->queuedOf(active));
+    this->queue.remove(this->queuedRequestOf(active));
     const auto cached = std::uint32_t(choice->prediction.cachedTokens);
     active.plan.parts = {{choice->engine, 0, request.promptTokens, cached, false}};
     ++active.attempt;
@@ -169,59 +171,59 @@
 }
 
 // Dispatches the next slice of a part, the next part, or the last slice followed by decoding.
-void Dispatcher::dispatchNext(Flight &active)
+void Dispatcher::dispatchNext(ActiveRequest &active)
 {
     const std::size_t last = active.plan.parts.size() - 1;
     const std::size_t next = active.plan.nextToPrefill().value_or(last);
-    if (active.phase == Phase::Prefilling && next != active.running)
-        this->tell(active, active.running, routing::WorkStage::Dispatched);
-    active.running = next;
-    routing::SpanPart &part = active.plan.parts[active.running];
-    const std::uint32_t left = part.to - part.done;
+    if (active.phase == Phase::Prefilling && next != active.currentPart)
+        this->shareWorkNote(active, active.currentPart, routing::WorkStage::Dispatched);
+    active.currentPart = next;
+    routing::SpanPart &part = active.plan.parts[active.currentPart];
+    const std::uint32_t left = part.to - part.prefilledTo;
     const bool whole = active.partSeconds > 0;
     const bool sliced = !whole && this->policy.sliceTokens > 0 && left > this->policy.sliceTokens;
-    const std::uint32_t to = sliced ? part.done + this->policy.sliceTokens : part.to;
+    const std::uint32_t to = sliced ? part.prefilledTo + this->policy.sliceTokens : part.to;
     const std::uint8_t priority = this->priorityOf(active);
     Dispatch dispatch;
     dispatch.id = active.request.id;
     dispatch.attempt = active.attempt;
     dispatch.engine = part.engine;
     dispatch.priority = priority;
-    dispatch.from = part.done;
+    dispatch.from = part.prefilledTo;
     dispatch.to = to;
-    dispatch.final = active.running == last && to == part.to;
-    dispatch.resumeOffset = active.received;
+    dispatch.final = active.currentPart == last && to == part.to;
+    dispatch.resumeOffset = active.receivedTokens;
     dispatch.helpers = active.helpers;
-    for (const Flight::Ticket &ticket : active.tickets)
+    for (const ActiveRequest::HelperReservation &ticket : active.helperReservations)
         dispatch.helperLeases.push_back(ticket.lease);
-    dispatch.predictedFirst = active.predictedFirst;
-    dispatch.look = active.look;
-    if (active.span) {
-        dispatch.lease = this->leaseOf(active, active.running);
-        for (std::size_t each = 0; each < active.running; ++each) {
+    dispatch.predictedFirstEvent = active.predictedFirstEvent;
+    dispatch.placementSnapshot = active.placementSnapshot;
+    if (active.usesSpan) {
+        dispatch.lease = this->leaseOf(active, active.currentPart);
+        for (std::size_t each = 0; each < active.currentPart; ++each) {
             const routing::SpanPart &source = active.plan.parts[each];
             dispatch.imports.push_back(
                     {source.engine, this->leaseOf(active, each), source.from, source.to});
         }
     }
-    std::uint32_t charged = to - part.done;
+    std::uint32_t charged = to - part.prefilledTo;
     if (dispatch.final)
         charged += active.request.maximumOutputTokens;
     active.phase = Phase::Prefilling;
-    active.handedOver = true;
+    active.dispatched = true;
     this->actions.emplace_back(dispatch);
-    this->tell(active, active.running, routing::WorkStage::Dispatched,
-               whole ? this->partTokens(active) : left, charged, priority);
+    this->shareWorkNote(active, active.currentPart, routing::WorkStage::Dispatched,
+                        whole ? this->equivalentPartTokens(active) : left, charged, priority);
     if (routing::EngineView *view = this->engines.find(part.engine);
         view != nullptr && this->policy.useCacheEvents && part.from == 0 && dispatch.final)
-        view->prefixes().expect(active.request.prefixBlocks);
+        view->prefixes().addExpected(active.request.prefixBlocks);
 }
 
 // 0 is the highest priority and is given to short prompts. Longer ones age: each doubling of the
 // response ratio (time since arrival / completion time on an idle engine) raises them by one level,
 // so that each ages at the pace at which it can afford to wait. Work that runs out of slack goes
 // right behind the short prompts.
-std::uint8_t Dispatcher::priorityOf(const Flight &active) const
+std::uint8_t Dispatcher::priorityOf(const ActiveRequest &active) const
 {
     const CompletionRequest &request = active.request;
     if (!this->policy.priorities)
@@ -234,7 +236,7 @@
     if (request.promptTokens < highestPriorityTokens)
         return std::uint8_t(std::clamp(rowShift, 0, lowestPriority));
     int priority = std::bit_width(request.promptTokens / highestPriorityTokens);
-    if (active.span)
+    if (active.usesSpan)
         priority = std::min(priority, int(this->policy.spanPriority));
     const double ideal = std::max(this->idealSeconds(request), 0.001);
     const double waited = toSeconds(this->now - request.arrival);
@@ -262,11 +264,11 @@
 bool Dispatcher::needsSpan(const CompletionRequest &request) const
 {
     const std::uint64_t tokens = std::uint64_t(request.promptTokens) + request.maximumOutputTokens;
-    return !this->engines.anyEngineHolds(
+    return !this->engines.anyEngineFits(
             request.model, std::uint64_t(double(tokens) / this->policy.spanMemoryShare));
 }
 
-LengthClass Dispatcher::classOf(std::uint32_t promptTokens) const
+LengthClass Dispatcher::lengthClassOf(std::uint32_t promptTokens) const
 {
     if (promptTokens < this->policy.shortPromptTokens)
         return LengthClass::Short;
@@ -275,22 +277,22 @@
     return promptTokens < this->policy.longPromptTokens ? LengthClass::Long : LengthClass::Huge;
 }
 
-QueuedRequest Dispatcher::queuedOf(const Flight &active) const
+QueuedRequest Dispatcher::queuedRequestOf(const ActiveRequest &active) const
 {
     return {active.request.id, active.request.tableKey(), active.lengthClass,
             std::uint64_t(active.request.promptTokens) + active.request.maximumOutputTokens};
 }
 
-void Dispatcher::enqueue(Flight &active, bool front)
+void Dispatcher::enqueue(ActiveRequest &active, bool front)
 {
     active.phase = Phase::Queued;
     if (this->isLong(active.request)) {
-        const WaitingPrompt prompt = this->waitingOf(active);
-        this->longQueue.add(active.request.id, prompt);
-        this->tellWaiting(active, prompt, routing::WorkStage::Waiting);
+        const WaitingPrompt prompt = this->waitingPromptOf(active);
+        this->longPromptQueue.add(active.request.id, prompt);
+        this->sendWaitingNote(active, prompt, routing::WorkStage::Waiting);
         return;
     }
-    this->queue.push(this->queuedOf(active), front, this->now);
+    this->queue.push(this->queuedRequestOf(active), front, this->now);
 }
 
 double Dispatcher::idealSeconds(const CompletionRequest &request) const
--- a/src/coordination/admission/DispatcherSpans.cpp
+++ b/src/coordination/admission/DispatcherSpans.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-bool Dispatcher::placeSpan(Flight &active)
+bool Dispatcher::placeSpan(ActiveRequest &active)
 {
     const CompletionRequest &request = active.request;
     // The largest prompts rarely find enough free memory. One that has waited long may also take
@@ -32,16 +32,16 @@
                                   request.maximumOutputTokens, spanPolicy, this->now);
     if (!plan)
         return false;
-    this->queue.remove(this->queuedOf(active));
+    this->queue.remove(this->queuedRequestOf(active));
     active.plan = std::move(*plan);
     active.phase = Phase::Reserving;
     ++active.attempt;
-    this->spans.insert(request.id);
+    this->reservationHolders.insert(request.id);
     this->reserveNext(active);
     return true;
 }
 
-void Dispatcher::reserveNext(Flight &active)
+void Dispatcher::reserveNext(ActiveRequest &active)
 {
     const std::optional<std::size_t> next = active.plan.nextToReserve();
     if (!next) {
@@ -51,15 +51,15 @@
     active.renewAt = this->now + this->policy.reservationTtl / renewalsPerTtl;
     this->actions.emplace_back(Reserve{
             active.request.id, active.plan.parts[*next].engine, this->leaseOf(active, *next),
-            this->partMemory(active, *next), this->policy.reservationTtl});
+            this->partMemoryTokens(active, *next), this->policy.reservationTtl});
 }
 
 void Dispatcher::on(const ReservationAnswered &event)
 {
-    const auto found = this->flights.find(event.id);
-    Flight *active = found == this->flights.end() ? nullptr : &found->second;
-    if (active != nullptr && !active->tickets.empty()) {
-        this->ticketAnswered(*active, event);
+    const auto found = this->activeRequests.find(event.id);
+    ActiveRequest *active = found == this->activeRequests.end() ? nullptr : &found->second;
+    if (active != nullptr && !active->helperReservations.empty()) {
+        this->handleHelperReservationAnswer(*active, event);
         return;
     }
     std::optional<std::size_t> part;
@@ -78,44 +78,44 @@
         const bool newlyReserved = !active->plan.parts[*part].reserved;
         active->plan.parts[*part].reserved = true;
         if (newlyReserved)
-            this->tell(*active, *part, routing::WorkStage::Dispatched);
+            this->shareWorkNote(*active, *part, routing::WorkStage::Dispatched);
         if (newlyReserved && active->phase == Phase::Reserving)
             this->reserveNext(*active);
         return;
     }
     if (active->phase != Phase::Reserving) {
         // A renewal was refused: the engine no longer holds that part.
-        this->attemptLost(*active, event.engine, false, false);
-        this->pump();
+        this->handleAttemptLoss(*active, event.engine, false, false);
+        this->placeWaiting();
         return;
     }
     // All or nothing: holding a part while waiting for the rest would starve other plans.
-    this->giveBack(*active);
+    this->releaseReservations(*active);
     active->plan = {};
-    active->span = this->needsSpan(active->request);
+    active->usesSpan = this->needsSpan(active->request);
     active->notBefore = this->now + this->policy.reservationRetry;
     this->enqueue(*active, true);
-    this->pump();
+    this->placeWaiting();
 }
 
-void Dispatcher::giveBack(Flight &active)
+void Dispatcher::releaseReservations(ActiveRequest &active)
 {
-    this->releaseTickets(active);
-    if (this->spans.erase(active.request.id) == 0)
+    this->releaseHelperMemory(active);
+    if (this->reservationHolders.erase(active.request.id) == 0)
         return;
     // Also releases reservations without an answer: the grant may be on its way.
     for (std::size_t each = 0; each < active.plan.parts.size(); ++each) {
         if (active.plan.parts[each].reserved)
-            this->tell(active, each, routing::WorkStage::Ended);
+            this->shareWorkNote(active, each, routing::WorkStage::Ended);
         this->actions.emplace_back(Release{active.request.id, active.plan.parts[each].engine,
                                            this->leaseOf(active, each)});
     }
 }
 
-void Dispatcher::renew(Flight &active)
+void Dispatcher::renewReservations(ActiveRequest &active)
 {
     active.renewAt = this->now + this->policy.reservationTtl / renewalsPerTtl;
-    for (const Flight::Ticket &reservation : active.tickets) {
+    for (const ActiveRequest::HelperReservation &reservation : active.helperReservations) {
         this->actions.emplace_back(Reserve{active.request.id, reservation.share.engine,
                                            reservation.lease, reservation.share.tokens,
                                            this->policy.reservationTtl});
@@ -125,23 +125,23 @@
             continue;
         this->actions.emplace_back(Reserve{
                 active.request.id, active.plan.parts[each].engine, this->leaseOf(active, each),
-                this->partMemory(active, each), this->policy.reservationTtl});
+                this->partMemoryTokens(active, each), this->policy.reservationTtl});
     }
 }
 
-std::uint32_t Dispatcher::partMemory(const Flight &active, std::size_t part) const
+std::uint32_t Dispatcher::partMemoryTokens(const ActiveRequest &active, std::size_t part) const
 {
     const routing::SpanPart &spanPart = active.plan.parts[part];
     const bool decodes = part + 1 == active.plan.parts.size();
     return spanPart.to - spanPart.from + (decodes ? active.request.maximumOutputTokens : 0);
 }
 
-std::string Dispatcher::leaseOf(const Flight &active, std::size_t part) const
+std::string Dispatcher::leaseOf(const ActiveRequest &active, std::size_t part) const
 {
     const std::string &engine = active.plan.parts[part].engine.value();
     std::array<char, 64> name{};
     std::snprintf(name.data(), name.size(), "%016llx.%zu.%016llx",
-                  static_cast<unsigned long long>(active.work), part,
+                  static_cast<unsigned long long>(active.requestHash), part,
                   static_cast<unsigned long long>(XXH3_64bits(engine.data(), engine.size())));
     return name.data();
 }
--- a/src/coordination/admission/Events.h
+++ b/src/coordination/admission/Events.h
@@ -101,7 +101,7 @@
 
 // The engine has sent nothing for long, but its stream is still open: may the request move to
 // another engine? Answered by MoveAnswered.
-struct MoveAsked
+struct MoveRequested
 {
     state::RequestId id;
     std::uint32_t attempt = 0;
@@ -120,7 +120,7 @@
     std::vector<state::TableRow> rows;
 };
 
-struct PeerWorkNoted
+struct PeerWorkReceived
 {
     routing::WorkNote note;
 };
@@ -130,7 +130,7 @@
 {
     state::VmId entry;
     double leastService = 0; // of its waiting rows; tokens per weight
-    std::array<std::uint64_t, lengthClasses> waitingTokens{}; // in that class and shorter ones
+    std::array<std::uint64_t, lengthClassCount> waitingTokens{}; // in that class and shorter ones
     std::uint64_t waitingWeight = 0; // total weight of its waiting rows; 0: none waits
 
     auto operator<=>(const BacklogNote &) const = default;
@@ -145,7 +145,7 @@
     }
 };
 
-struct PeerBacklogNoted
+struct PeerBacklogReceived
 {
     BacklogNote note;
 };
@@ -156,8 +156,8 @@
 using Event =
         std::variant<RequestArrived, CallerCancelled, EngineAnnounced, EngineGone, EngineDraining,
                      EngineSuspected, LoadReported, CacheReported, SlicePrefilled, TokensReceived,
-                     RequestFinished, AttemptFailed, MoveAsked, ReservationAnswered, TableChanged,
-                     PeerWorkNoted, PeerBacklogNoted, Tick>;
+                     RequestFinished, AttemptFailed, MoveRequested, ReservationAnswered,
+                     TableChanged, PeerWorkReceived, PeerBacklogReceived, Tick>;
 
 // Whether the request ran; No only if that is certain.
 enum class Ran : std::uint8_t { No, Unknown };
@@ -197,8 +197,9 @@
     std::vector<KvSource> imports;
     std::vector<state::EndpointId> helpers; // each prefills as much of the prompt as the engine
     std::vector<std::string> helperLeases;  // memory reserved at the first helpers, in order
-    state::Duration predictedFirst{0};      // from now to the first event; 0: not predicted
-    routing::PassLook look;                 // basis of the decision, on engines that work in passes
+    state::Duration predictedFirstEvent{0}; // from now to the first event; 0: not predicted
+    routing::PlacementSnapshot
+            placementSnapshot; // basis of the decision, on engines that work in passes
 };
 
 // The final answer to a request that did not complete. No further action follows for its caller.
@@ -208,9 +209,10 @@
     RefusalReason reason = RefusalReason::Overload;
     state::Duration retryAfter{0};
     Ran ran = Ran::No;
-    state::Duration predictedFirst{0}; // from now to the first event; 0: not predicted
+    state::Duration predictedFirstEvent{0}; // from now to the first event; 0: not predicted
     double queuedSeconds = 0; // engine time of the prompts that wait at the entries and go first
-    routing::PassLook look;   // basis of the decision, on engines that work in passes
+    routing::PlacementSnapshot
+            placementSnapshot; // basis of the decision, on engines that work in passes
 };
 
 // The final answer to a request whose deadline has passed.
--- a/src/coordination/admission/FairQueue.cpp
+++ b/src/coordination/admission/FairQueue.cpp
@@ -26,42 +26,43 @@
 
 void FairQueue::setRow(const state::TableRow &row)
 {
-    const std::uint32_t at = this->flowOf(row.key);
+    const std::uint32_t at = this->flowIndexOf(row.key);
     Flow &flow = this->flows[at];
     if (row.version < flow.row.version)
         return;
-    const double service = flow.inflated * flow.row.weight;
-    for (std::size_t each = 0; each < lengthClasses; ++each)
-        this->band(flow, each).erase({flow.inflated, at});
+    const double service = flow.scaledService * flow.row.weight;
+    for (std::size_t each = 0; each < lengthClassCount; ++each)
+        this->rowOrderOf(flow, each).erase({flow.scaledService, at});
     if (flow.waiting > 0)
         this->waitingWeight += row.weight - std::uint64_t(flow.row.weight);
     flow.row = row;
-    flow.inflated = service / std::max(row.weight, 1U);
-    for (std::size_t each = 0; each < lengthClasses; ++each) {
+    flow.scaledService = service / std::max(row.weight, 1U);
+    for (std::size_t each = 0; each < lengthClassCount; ++each) {
         if (!flow.queues[each].empty())
-            this->band(flow, each).emplace(flow.inflated, at);
+            this->rowOrderOf(flow, each).emplace(flow.scaledService, at);
     }
 }
 
 const state::TableRow &FairQueue::row(const state::TableKey &key) const
 {
     static const state::TableRow defaults;
-    const auto found = this->index.find(key);
-    return found == this->index.end() ? defaults : this->flows[found->second].row;
+    const auto found = this->flowIndexByKey.find(key);
+    return found == this->flowIndexByKey.end() ? defaults : this->flows[found->second].row;
 }
 
 void FairQueue::push(const QueuedRequest &request, bool front, state::Instant now)
 {
-    const std::uint32_t at = this->flowOf(request.key);
+    const std::uint32_t at = this->flowIndexOf(request.key);
     Flow &flow = this->flows[at];
     if (flow.waiting == 0) {
-        if (const std::optional<double> least = this->leastAnywhere(now))
-            this->setInflated(at, std::max(flow.inflated, *least * this->growth(now)));
+        if (const std::optional<double> least = this->leastServiceAnywhere(now))
+            this->setScaledService(at,
+                                   std::max(flow.scaledService, *least * this->decayScale(now)));
         this->waitingWeight += flow.row.weight;
     }
     auto &queue = flow.queues[std::size_t(request.lengthClass)];
     if (queue.empty())
-        this->band(flow, std::size_t(request.lengthClass)).emplace(flow.inflated, at);
+        this->rowOrderOf(flow, std::size_t(request.lengthClass)).emplace(flow.scaledService, at);
     if (front)
         queue.push_front(request);
     else
@@ -74,7 +75,7 @@
 
 bool FairQueue::remove(const QueuedRequest &request)
 {
-    const std::uint32_t at = this->flowOf(request.key);
+    const std::uint32_t at = this->flowIndexOf(request.key);
     Flow &flow = this->flows[at];
     auto &queue = flow.queues[std::size_t(request.lengthClass)];
     const auto found = std::ranges::find(queue, request.id, &QueuedRequest::id);
@@ -82,7 +83,7 @@
         return false;
     queue.erase(found);
     if (queue.empty())
-        this->band(flow, std::size_t(request.lengthClass)).erase({flow.inflated, at});
+        this->rowOrderOf(flow, std::size_t(request.lengthClass)).erase({flow.scaledService, at});
     --flow.waiting;
     --this->waiting;
     flow.tokens -= request.tokens;
@@ -96,10 +97,10 @@
 {
     if (secondsBetween(this->epoch, now) > rebaseAfterSeconds)
         this->rebase(now);
-    const std::uint32_t at = this->flowOf(key);
+    const std::uint32_t at = this->flowIndexOf(key);
     const Flow &flow = this->flows[at];
     const double weight = std::max(flow.row.weight, 1U);
-    this->setInflated(at, flow.inflated + tokens / weight * this->growth(now));
+    this->setScaledService(at, flow.scaledService + tokens / weight * this->decayScale(now));
 }
 
 std::vector<QueueHead> FairQueue::heads(std::size_t limit, double burstTokens,
@@ -107,15 +108,15 @@
 {
     std::vector<QueueHead> within;
     std::vector<QueueHead> ahead;
-    const double scale = this->growth(now);
-    const double least = this->leastAnywhere(now).value_or(0);
-    for (std::size_t each = 0; each < this->bands.size(); ++each) {
+    const double scale = this->decayScale(now);
+    const double least = this->leastServiceAnywhere(now).value_or(0);
+    for (std::size_t each = 0; each < this->rowOrders.size(); ++each) {
         std::size_t taken = 0;
-        for (const auto &[scaled, at] : this->bands[each]) {
+        for (const auto &[scaled, at] : this->rowOrders[each]) {
             if (taken++ == limit)
                 break;
             const Flow &flow = this->flows[at];
-            const QueueHead head{flow.queues[each % lengthClasses].front(), scaled / scale,
+            const QueueHead head{flow.queues[each % lengthClassCount].front(), scaled / scale,
                                  flow.row.priority};
             const double lead = (head.service - least) * flow.row.weight;
             (lead > burstTokens ? ahead : within).push_back(head);
@@ -128,8 +129,10 @@
 
 double FairQueue::service(const state::TableKey &key, state::Instant now) const
 {
-    const auto found = this->index.find(key);
-    return found == this->index.end() ? 0 : this->flows[found->second].inflated / this->growth(now);
+    const auto found = this->flowIndexByKey.find(key);
+    return found == this->flowIndexByKey.end()
+                   ? 0
+                   : this->flows[found->second].scaledService / this->decayScale(now);
 }
 
 double FairQueue::tokensPerSecond(const state::TableKey &key, state::Instant now) const
@@ -140,30 +143,30 @@
 std::optional<double> FairQueue::leastService(state::Instant now) const
 {
     std::optional<double> least;
-    for (const Band &each : this->bands) {
+    for (const RowOrder &each : this->rowOrders) {
         if (!each.empty() && (!least || each.begin()->first < *least))
             least = each.begin()->first;
     }
     if (least)
-        *least /= this->growth(now);
+        *least /= this->decayScale(now);
     return least;
 }
 
-std::optional<double> FairQueue::leastAnywhere(state::Instant now) const
+std::optional<double> FairQueue::leastServiceAnywhere(state::Instant now) const
 {
     const std::optional<double> own = this->leastService(now);
-    if (!own || !this->peersLeast)
-        return own ? own : this->peersLeast;
-    return std::min(*own, *this->peersLeast);
+    if (!own || !this->peersLeastService)
+        return own ? own : this->peersLeastService;
+    return std::min(*own, *this->peersLeastService);
 }
 
-std::uint64_t FairQueue::tokensOf(const state::TableKey &key) const
+std::uint64_t FairQueue::waitingTokensOf(const state::TableKey &key) const
 {
-    const auto found = this->index.find(key);
-    return found == this->index.end() ? 0 : this->flows[found->second].tokens;
+    const auto found = this->flowIndexByKey.find(key);
+    return found == this->flowIndexByKey.end() ? 0 : this->flows[found->second].tokens;
 }
 
-std::uint64_t FairQueue::tokensUpTo(LengthClass last) const
+std::uint64_t FairQueue::waitingTokensUpTo(LengthClass last) const
 {
     std::uint64_t sum = 0;
     for (std::size_t each = 0; each <= std::size_t(last); ++each)
@@ -171,9 +174,10 @@
     return sum;
 }
 
-std::uint32_t FairQueue::flowOf(const state::TableKey &key)
+std::uint32_t FairQueue::flowIndexOf(const state::TableKey &key)
 {
-    const auto [place, added] = this->index.try_emplace(key, std::uint32_t(this->flows.size()));
+    const auto [place, added] =
+            this->flowIndexByKey.try_emplace(key, std::uint32_t(this->flows.size()));
     if (added) {
         this->flows.emplace_back();
         this->flows.back().row.key = key;
@@ -181,34 +185,34 @@
     return place->second;
 }
 
-FairQueue::Band &FairQueue::band(const Flow &flow, std::size_t lengthClass)
+FairQueue::RowOrder &FairQueue::rowOrderOf(const Flow &flow, std::size_t lengthClass)
 {
-    const std::size_t priority = std::min<std::size_t>(flow.row.priority, priorities - 1);
-    return this->bands[priority * lengthClasses + lengthClass];
+    const std::size_t priority = std::min<std::size_t>(flow.row.priority, priorityLevels - 1);
+    return this->rowOrders[priority * lengthClassCount + lengthClass];
 }
 
-void FairQueue::setInflated(std::uint32_t at, double value)
+void FairQueue::setScaledService(std::uint32_t at, double value)
 {
     Flow &flow = this->flows[at];
-    for (std::size_t each = 0; each < lengthClasses; ++each) {
+    for (std::size_t each = 0; each < lengthClassCount; ++each) {
         if (flow.queues[each].empty())
             continue;
-        this->band(flow, each).erase({flow.inflated, at});
-        this->band(flow, each).emplace(value, at);
+        this->rowOrderOf(flow, each).erase({flow.scaledService, at});
+        this->rowOrderOf(flow, each).emplace(value, at);
     }
-    flow.inflated = value;
+    flow.scaledService = value;
 }
 
-double FairQueue::growth(state::Instant now) const
+double FairQueue::decayScale(state::Instant now) const
 {
     return std::exp(secondsBetween(this->epoch, now) / serviceDecaySeconds);
 }
 
 void FairQueue::rebase(state::Instant now)
 {
-    const double scale = this->growth(now);
+    const double scale = this->decayScale(now);
     for (std::uint32_t at = 0; at < this->flows.size(); ++at)
-        this->setInflated(at, this->flows[at].inflated / scale);
+        this->setScaledService(at, this->flows[at].scaledService / scale);
     this->epoch = now;
 }
 
--- a/src/coordination/admission/FairQueue.h
+++ b/src/coordination/admission/FairQueue.h
@@ -26,7 +26,7 @@
 // Class of a prompt by its length; the three bounds are in PolicySettings. Among rows within their
 // share the shorter class goes first.
 enum class LengthClass : std::uint8_t { Short, Medium, Long, Huge };
-constexpr std::size_t lengthClasses = 4;
+constexpr std::size_t lengthClassCount = 4;
 
 struct QueuedRequest
 {
@@ -65,53 +65,54 @@
     std::optional<double> leastService(state::Instant now) const; // over the waiting rows
     // The least service among the rows that wait at peers; nothing if none waits. It counts for the
     // initial service of an own row that becomes active.
-    void setPeersLeast(std::optional<double> least) { this->peersLeast = least; }
+    void setPeersLeastService(std::optional<double> least) { this->peersLeastService = least; }
     // Over the waiting rows here and at peers.
-    std::optional<double> leastAnywhere(state::Instant now) const;
+    std::optional<double> leastServiceAnywhere(state::Instant now) const;
 
     std::size_t size() const { return this->waiting; }
-    std::uint64_t tokensOf(const state::TableKey &key) const;
-    std::uint64_t tokensUpTo(LengthClass last) const; // waiting in that class and shorter ones
+    std::uint64_t waitingTokensOf(const state::TableKey &key) const;
+    std::uint64_t
+    waitingTokensUpTo(LengthClass last) const; // waiting in that class and shorter ones
     std::uint64_t weightWaiting() const { return this->waitingWeight; }
-    std::size_t rows() const { return this->flows.size(); }
+    std::size_t rowCount() const { return this->flows.size(); }
 
 private:
     // The state of one table row.
     struct Flow
     {
         state::TableRow row;
-        double inflated = 0; // service times decayScale(); decay leaves it unchanged
+        double scaledService = 0; // service times decayScale(); decay leaves it unchanged
         std::uint64_t tokens = 0;
         std::size_t waiting = 0;
-        std::array<std::deque<QueuedRequest>, lengthClasses> queues;
+        std::array<std::deque<QueuedRequest>, lengthClassCount> queues;
     };
     struct KeyHash
     {
         std::size_t operator()(const state::TableKey &key) const noexcept;
     };
     // Ordered by scaled service; the second member is the index of the flow.
-    using Band = std::set<std::pair<double, std::uint32_t>>;
+    using RowOrder = std::set<std::pair<double, std::uint32_t>>;
 
-    static constexpr std::size_t priorities = 10;
+    static constexpr std::size_t priorityLevels = 10;
 
-    std::uint32_t flowOf(const state::TableKey &key);
-    Band &band(const Flow &flow, std::size_t lengthClass);
-    void setInflated(std::uint32_t index, double value);
+    std::uint32_t flowIndexOf(const state::TableKey &key);
+    RowOrder &rowOrderOf(const Flow &flow, std::size_t lengthClass);
+    void setScaledService(std::uint32_t index, double value);
     // The factor by which services have decayed since the epoch. Scaled services are divided by it
     // when read, so decay needs no update of all flows.
-    double growth(state::Instant now) const;
+    double decayScale(state::Instant now) const;
     void rebase(state::Instant now);
 
-    std::unordered_map<state::TableKey, std::uint32_t, KeyHash> index;
+    std::unordered_map<state::TableKey, std::uint32_t, KeyHash> flowIndexByKey;
     std::vector<Flow> flows;
     // Rows with a waiting request, for each (priority, length class), ordered by service. Decay
     // scales all rows equally, so the order holds between charges.
-    std::array<Band, priorities * lengthClasses> bands;
-    std::array<std::uint64_t, lengthClasses> waitingTokens{};
+    std::array<RowOrder, priorityLevels * lengthClassCount> rowOrders;
+    std::array<std::uint64_t, lengthClassCount> waitingTokens{};
     std::size_t waiting = 0;
     std::uint64_t waitingWeight = 0;
     state::Instant epoch{}; // when decayScale() is 1
-    std::optional<double> peersLeast;
+    std::optional<double> peersLeastService;
 };
 
 } // namespace lavenderthread::coordination::admission
--- a/src/coordination/admission/LongQueue.h
+++ b/src/coordination/admission/LongPromptQueue.h
@@ -16,48 +16,48 @@
 
 namespace lavenderthread::coordination::admission {
 
-struct LongQueueSettings
+struct LongPromptQueueSettings
 {
     // A prompt's rank is its arrival plus this factor times its engine time: shorter prompts go
     // first, and longer ones catch up as they wait.
-    double secondsPerEngineSecond = 0.5;
+    double rankDelayPerEngineSecond = 0.5;
     // A peer's prompt is forgotten after this time unless it is announced again. Otherwise a
     // crashed or partitioned entry would block all the others.
-    state::Duration peerLife = std::chrono::milliseconds(250);
+    state::Duration peerLifetime = std::chrono::milliseconds(250);
 };
 
 struct WaitingPrompt
 {
-    std::uint64_t work = 0;   // hash of the request id
-    double engineSeconds = 0; // to prefill it
+    std::uint64_t requestHash = 0; // hash of the request id
+    double engineSeconds = 0;      // to prefill it
     state::Instant arrival;
 };
 
 // Holds the long prompts that wait at this entry and those that peers have announced.
-class LongQueue
+class LongPromptQueue
 {
 public:
-    explicit LongQueue(LongQueueSettings queueSettings = {})
+    explicit LongPromptQueue(LongPromptQueueSettings queueSettings = {})
         : settings(queueSettings)
     {}
 
     void add(const state::RequestId &id, const WaitingPrompt &prompt);
     void remove(std::uint64_t work); // an own or a peer's prompt that has started or ended
-    void notePeer(const WaitingPrompt &prompt, state::Instant now);
+    void addPeerPrompt(const WaitingPrompt &prompt, state::Instant now);
 
     // The first prompt of the order if it is an own one, which may start now; nothing otherwise.
     std::optional<state::RequestId> head(state::Instant now);
     // Engine time, in seconds, of all waiting prompts that go before this one.
     double secondsBefore(const WaitingPrompt &prompt, state::Instant now) const;
-    std::vector<std::pair<state::RequestId, WaitingPrompt>> own() const;
+    std::vector<std::pair<state::RequestId, WaitingPrompt>> ownPrompts() const;
     std::optional<WaitingPrompt> findOwn(std::uint64_t work) const;
-    bool hasOwn() const { return !this->ids.empty(); }
+    bool hasOwn() const { return !this->ownRequestIds.empty(); }
 
 private:
     struct Rank
     {
-        state::Instant at;
-        std::uint64_t work = 0;
+        state::Instant effectiveArrival;
+        std::uint64_t requestHash = 0;
 
         auto operator<=>(const Rank &) const = default;
     };
@@ -70,10 +70,10 @@
     Rank rankOf(const WaitingPrompt &prompt) const;
     void dropExpired(state::Instant now);
 
-    LongQueueSettings settings;
-    std::map<Rank, Entry> order;                   // own and peers' prompts
-    std::map<std::uint64_t, Rank> ranks;           // by work id; the same prompts as in `byRank`
-    std::map<std::uint64_t, state::RequestId> ids; // by work id; own prompts only
+    LongPromptQueueSettings settings;
+    std::map<Rank, Entry> byRank;                    // own and peers' prompts
+    std::map<std::uint64_t, Rank> rankByRequestHash; // by work id; the same prompts as in `byRank`
+    std::map<std::uint64_t, state::RequestId> ownRequestIds; // by work id; own prompts only
 };
 
 } // namespace lavenderthread::coordination::admission
--- a/src/coordination/admission/Request.h
+++ b/src/coordination/admission/Request.h
@@ -20,13 +20,14 @@
     state::ModelName model;
     std::uint32_t promptTokens = 0;
     std::uint32_t maximumOutputTokens = 0;
-    std::vector<std::uint64_t> prefixBlocks; // routing::chainPrefixBlocks of the prompt
+    std::vector<std::uint64_t> prefixBlocks; // routing::hashPrefixBlocks of the prompt
     state::Instant arrival;
     state::Instant deadline;
     bool idempotent = true;
-    state::Duration firstTarget{0}; // from arrival to the first event, as requested; 0: none
-    state::Duration pause{0};   // longest that the caller tolerates between events; 0: not known
-    std::uint32_t attempts = 0; // engines that it may run on; 0: the limit of the policy
+    state::Duration firstEventTarget{0}; // from arrival to the first event, as requested; 0: none
+    state::Duration toleratedPause{
+            0}; // longest that the caller tolerates between events; 0: not known
+    std::uint32_t attemptLimit = 0; // engines that it may run on; 0: the limit of the policy
 
     auto operator<=>(const CompletionRequest &) const = default;
 
--- a/src/coordination/admission/RetryBudget.h
+++ b/src/coordination/admission/RetryBudget.h
@@ -13,27 +13,30 @@
 {
 public:
     RetryBudget(double refillPerSuccess, double maximum)
-        : share(refillPerSuccess)
-        , burst(maximum)
-        , left(maximum)
+        : perSuccess(refillPerSuccess)
+        , capacity(maximum)
+        , available(maximum)
     {}
 
     // Refills the budget after a successful request.
-    void succeeded() { this->left = std::min(this->burst, this->left + this->share); }
+    void addSuccess()
+    {
+        this->available = std::min(this->capacity, this->available + this->perSuccess);
+    }
 
     // Pays for one retry; false if the budget is exhausted.
-    bool take()
+    bool tryTake()
     {
-        if (this->left < 1)
+        if (this->available < 1)
             return false;
-        this->left -= 1;
+        this->available -= 1;
         return true;
     }
 
 private:
-    double share;
-    double burst;
-    double left; // between 0 and burst
+    double perSuccess;
+    double capacity;
+    double available; // between 0 and burst
 };
 
 } // namespace lavenderthread::coordination::admission
--- a/src/coordination/claims/ClaimedRequest.cpp
+++ b/src/coordination/claims/ClaimedRequest.cpp
@@ -33,8 +33,8 @@
 
 ClaimActions ClaimedRequest::begin(Instant now)
 {
-    if (now >= this->giveUpAt())
-        return this->end(notRun(ErrorCode::Timeout, "no time left to claim the request"));
+    if (now >= this->releaseAt())
+        return this->endWithReply(notRun(ErrorCode::Timeout, "no time left to claim the request"));
     const state::Duration left = this->start.deadline - now;
     return this->propose(state::control::TakeClaim{this->start.id, this->start.account,
                                                    this->start.body, this->start.holder, left},
@@ -45,14 +45,14 @@
 {
     // A resent command is answered twice. Mistaking the second grant of the claim for the answer to
     // the dispatch mark would send the request before the mark is committed.
-    if (!this->waiting || id != this->proposal)
+    if (!this->pendingCommand || id != this->proposalId)
         return {};
-    this->waiting.reset();
+    this->pendingCommand.reset();
     switch (this->step) {
     case Step::Taking:
         return this->onTaken(answer, now);
-    case Step::Marking:
-        return this->onMarked(answer, now);
+    case Step::MarkingDispatched:
+        return this->onMarkedDispatched(answer, now);
     case Step::Releasing:
         return this->onReleased(answer);
     case Step::Finishing:
@@ -73,32 +73,35 @@
         this->step = Step::Connecting;
         return {ConnectEndpoint{}};
     case ClaimVerdict::AlreadyRan:
-        return this->end({Ran::Yes, answer.result, std::nullopt});
+        return this->endWithReply({Ran::Yes, answer.result, std::nullopt});
     case ClaimVerdict::InProgress:
-        return this->end(unknown(ErrorCode::Conflict, "another attempt of this key is under way"));
+        return this->endWithReply(
+                unknown(ErrorCode::Conflict, "another attempt of this key is under way"));
     case ClaimVerdict::OutcomeUnknown:
-        return this->end(
+        return this->endWithReply(
                 unknown(ErrorCode::Unavailable,
                         "an earlier attempt of this key may have run; its entry was lost"));
     case ClaimVerdict::OtherBody:
-        return this->end(notRun(ErrorCode::Conflict, "the key was used with another request"));
+        return this->endWithReply(
+                notRun(ErrorCode::Conflict, "the key was used with another request"));
     case ClaimVerdict::Full:
-        return this->end(notRun(ErrorCode::Overloaded, "no room for more claims"));
+        return this->endWithReply(notRun(ErrorCode::Overloaded, "no room for more claims"));
     case ClaimVerdict::NotHolder:
     case ClaimVerdict::TooLate:
         break;
     }
     // The log has released this attempt's claim: its entry was declared lost, or time ran out.
-    return this->end(notRun(ErrorCode::Unavailable, "the claim was released before dispatch"));
+    return this->endWithReply(
+            notRun(ErrorCode::Unavailable, "the claim was released before dispatch"));
 }
 
 ClaimActions ClaimedRequest::onConnected(Instant now)
 {
     if (this->step != Step::Connecting)
         return {};
-    if (now >= this->giveUpAt())
+    if (now >= this->releaseAt())
         return this->release(now, makeError(ErrorCode::Timeout, "claim.connect", "deadline"));
-    this->step = Step::Marking;
+    this->step = Step::MarkingDispatched;
     return this->propose(state::control::DispatchClaim{this->start.id, this->start.holder}, now);
 }
 
@@ -110,57 +113,59 @@
                                         "the endpoint can't be reached"));
 }
 
-ClaimActions ClaimedRequest::onMarked(const ClaimAnswer &answer, Instant now)
+ClaimActions ClaimedRequest::onMarkedDispatched(const ClaimAnswer &answer, Instant now)
 {
     if (answer.verdict != ClaimVerdict::Granted)
-        return this->end(notRun(ErrorCode::Unavailable, "the claim was released before dispatch"));
+        return this->endWithReply(
+                notRun(ErrorCode::Unavailable, "the claim was released before dispatch"));
     // A process that was paused may resume here with a claim that the log has released meanwhile.
     // Past the deadline it must not use the claim.
     if (now >= this->start.deadline)
-        return this->finish(std::nullopt, now);
+        return this->recordOutcome(std::nullopt, now);
     this->step = Step::Running;
-    this->sent = true;
+    this->requestSent = true;
     return {SendRequest{}};
 }
 
 ClaimActions ClaimedRequest::onResult(state::control::ClaimResult result, Instant now)
 {
-    if (!this->sent || std::exchange(this->hasResult, true))
+    if (!this->requestSent || std::exchange(this->hasResult, true))
         return {};
-    return this->finish(std::move(result), now);
+    return this->recordOutcome(std::move(result), now);
 }
 
 ClaimActions ClaimedRequest::onEndpointLost(Instant now)
 {
     if (this->step != Step::Running)
         return {};
-    return this->finish(std::nullopt, now);
+    return this->recordOutcome(std::nullopt, now);
 }
 
 ClaimActions ClaimedRequest::onProposalLost(std::uint64_t id, Instant now)
 {
     // Every command may be resent: the log gives a copy the same answer as the first.
-    if (id == this->proposal)
-        this->repeatAt = std::min(this->repeatAt, now);
+    if (id == this->proposalId)
+        this->resendAt = std::min(this->resendAt, now);
     return {};
 }
 
 ClaimActions ClaimedRequest::onTimer(Instant now)
 {
     const bool sentNothing = this->step == Step::Taking || this->step == Step::Connecting
-                             || this->step == Step::Marking;
-    if (sentNothing && now >= this->giveUpAt())
+                             || this->step == Step::MarkingDispatched;
+    if (sentNothing && now >= this->releaseAt())
         return this->release(now, makeError(ErrorCode::Timeout, "claim.run", "deadline"));
     if (this->step == Step::Releasing && now >= this->start.deadline)
-        return this->end(unknown(ErrorCode::Timeout, "the claim's release was not confirmed"));
+        return this->endWithReply(
+                unknown(ErrorCode::Timeout, "the claim's release was not confirmed"));
     if (this->step == Step::Running && now >= this->start.deadline)
-        return this->finish(std::nullopt, now);
+        return this->recordOutcome(std::nullopt, now);
     if (this->step == Step::Finishing && now >= this->start.deadline + finishWindow) {
         this->step = Step::Done;
         return {};
     }
-    if (this->waiting && now >= this->repeatAt)
-        return this->repeat(now);
+    if (this->pendingCommand && now >= this->resendAt)
+        return this->sendPending(now);
     return {};
 }
 
@@ -172,27 +177,27 @@
     if (this->step == Step::Finishing)
         next = this->start.deadline + finishWindow;
     if (this->step < Step::Running)
-        next = this->giveUpAt();
-    return this->waiting ? std::min(next, this->repeatAt) : next;
+        next = this->releaseAt();
+    return this->pendingCommand ? std::min(next, this->resendAt) : next;
 }
 
 ClaimActions ClaimedRequest::propose(state::control::Command command, Instant now)
 {
-    this->waiting = std::move(command);
-    ++this->proposal;
-    return this->repeat(now);
+    this->pendingCommand = std::move(command);
+    ++this->proposalId;
+    return this->sendPending(now);
 }
 
-ClaimActions ClaimedRequest::repeat(Instant now)
+ClaimActions ClaimedRequest::sendPending(Instant now)
 {
-    this->repeatAt = now + this->settings.repeatAfter;
-    return {ProposeCommand{this->proposal, *this->waiting}};
+    this->resendAt = now + this->settings.resendAfter;
+    return {ProposeCommand{this->proposalId, *this->pendingCommand}};
 }
 
 ClaimActions ClaimedRequest::release(Instant now, state::Error error)
 {
     this->step = Step::Releasing;
-    this->reason = std::move(error);
+    this->releaseReason = std::move(error);
     return this->propose(state::control::ReleaseClaim{this->start.id, this->start.holder}, now);
 }
 
@@ -203,13 +208,14 @@
     const bool settled =
             answer.verdict == ClaimVerdict::Granted || answer.verdict == ClaimVerdict::NotHolder;
     if (settled)
-        return this->end({Ran::No, std::nullopt, this->reason});
+        return this->endWithReply({Ran::No, std::nullopt, this->releaseReason});
     // The dispatch mark was committed before the release. Nothing was sent, but the log can't know
     // that and answers "unknown" to a resend, so this caller is told the same.
-    return this->end(unknown(ErrorCode::Timeout, "the request was marked as dispatched"));
+    return this->endWithReply(unknown(ErrorCode::Timeout, "the request was marked as dispatched"));
 }
 
-ClaimActions ClaimedRequest::finish(std::optional<state::control::ClaimResult> result, Instant now)
+ClaimActions ClaimedRequest::recordOutcome(std::optional<state::control::ClaimResult> result,
+                                           Instant now)
 {
     ReplyToCaller reply =
             unknown(ErrorCode::Unavailable, "the endpoint gave no whole answer; it may have run");
@@ -224,10 +230,10 @@
     return actions;
 }
 
-ClaimActions ClaimedRequest::end(ReplyToCaller reply)
+ClaimActions ClaimedRequest::endWithReply(ReplyToCaller reply)
 {
     this->step = Step::Done;
-    this->waiting.reset();
+    this->pendingCommand.reset();
     if (std::exchange(this->replied, true))
         return {};
     return {std::move(reply)};
--- a/src/coordination/claims/ClaimedRequest.h
+++ b/src/coordination/claims/ClaimedRequest.h
@@ -45,7 +45,7 @@
 
 struct ClaimedRequestSettings
 {
-    state::Duration repeatAfter = std::chrono::milliseconds(300); // for an unanswered command
+    state::Duration resendAfter = std::chrono::milliseconds(300); // for an unanswered command
     // Time reserved before the deadline to commit the release of the claim, so that the caller can
     // still be told "not run".
     state::Duration releaseMargin = std::chrono::milliseconds(500);
@@ -86,34 +86,35 @@
 private:
     enum class Step : std::uint8_t {
         Taking,
-        Connecting, // claim held
-        Marking,    // dispatch mark proposed, not yet committed
-        Running,    // request sent
-        Releasing,  // release proposed; nothing was or will be sent
-        Finishing,  // outcome proposed; the caller has been answered
+        Connecting,        // claim held
+        MarkingDispatched, // dispatch mark proposed, not yet committed
+        Running,           // request sent
+        Releasing,         // release proposed; nothing was or will be sent
+        Finishing,         // outcome proposed; the caller has been answered
         Done,
     };
 
     ClaimActions propose(state::control::Command command, state::Instant now);
-    ClaimActions repeat(state::Instant now);
+    ClaimActions sendPending(state::Instant now);
     ClaimActions release(state::Instant now, state::Error error);
-    ClaimActions finish(std::optional<state::control::ClaimResult> result, state::Instant now);
+    ClaimActions recordOutcome(std::optional<state::control::ClaimResult> result,
+                               state::Instant now);
     ClaimActions onTaken(const state::control::ClaimAnswer &answer, state::Instant now);
-    ClaimActions onMarked(const state::control::ClaimAnswer &answer, state::Instant now);
+    ClaimActions onMarkedDispatched(const state::control::ClaimAnswer &answer, state::Instant now);
     ClaimActions onReleased(const state::control::ClaimAnswer &answer);
-    ClaimActions end(ReplyToCaller reply);
-    state::Instant giveUpAt() const { return this->start.deadline - this->settings.releaseMargin; }
+    ClaimActions endWithReply(ReplyToCaller reply);
+    state::Instant releaseAt() const { return this->start.deadline - this->settings.releaseMargin; }
 
     ClaimedRequestSettings settings;
     ClaimedRequestStart start;
     Step step = Step::Taking;
-    std::optional<state::control::Command> waiting; // proposed, not answered
-    std::uint64_t proposal = 0;                     // id of the latest command
-    state::Instant repeatAt;                        // when the pending command is resent
-    bool sent = false;                              // SendRequest was returned
-    bool hasResult = false;             // the endpoint answered, maybe after the deadline
-    bool replied = false;               // the caller is answered only once
-    std::optional<state::Error> reason; // why the claim is released
+    std::optional<state::control::Command> pendingCommand; // proposed, not answered
+    std::uint64_t proposalId = 0;                          // id of the latest command
+    state::Instant resendAt;                               // when the pending command is resent
+    bool requestSent = false;                              // SendRequest was returned
+    bool hasResult = false;                    // the endpoint answered, maybe after the deadline
+    bool replied = false;                      // the caller is answered only once
+    std::optional<state::Error> releaseReason; // why the claim is released
 };
 
 } // namespace lavenderthread::coordination::claims
--- a/src/coordination/consensus/Consensus.cpp
+++ b/src/coordination/consensus/Consensus.cpp
@@ -17,14 +17,14 @@
     , self(std::move(name))
     , random(seed)
     , now(at)
-    , leaderHeard(at)
+    , lastLeaderContact(at)
     , electionDue(at)
     , electedAt(at)
     , nextHeartbeat(at)
 {}
 
 state::Result<Consensus> Consensus::create(const Settings &settings, const state::VmId &self,
-                                           const Stored &stored, std::uint64_t seed,
+                                           const StoredState &stored, std::uint64_t seed,
                                            state::Instant now)
 {
     BOOST_OUTCOME_TRYV(settings.check());
@@ -65,7 +65,7 @@
     this->now = std::max(this->now, at);
     this->actions = Actions{};
     std::visit([this](const auto &kind) { this->handle(kind); }, event);
-    return this->finish();
+    return this->finishStep();
 }
 
 state::Instant Consensus::nextTimer() const
@@ -75,11 +75,11 @@
     if (this->role != Role::Leader)
         return this->electionDue;
     const state::Instant heardQuorum =
-            std::max(this->electedAt, this->quorumAcked().value_or(this->electedAt));
+            std::max(this->electedAt, this->quorumAckTime().value_or(this->electedAt));
     state::Instant due =
             std::min(this->nextHeartbeat, heardQuorum + this->settings.electionTimeout);
     if (!this->writes.empty())
-        due = std::min(due, this->writes.front().issued + this->settings.diskStall);
+        due = std::min(due, this->writes.front().issued + this->settings.diskStallTimeout);
     return due;
 }
 
@@ -97,19 +97,19 @@
     // Check-quorum: an isolated leader would otherwise keep accepting proposals that it can never
     // commit, and its callers would wait instead of contacting the new leader.
     const state::Instant oldest = this->now - this->settings.electionTimeout;
-    const bool isolated =
-            this->electedAt <= oldest
-            && !this->quorumAnswersSince(oldest + state::Duration(1), this->members());
+    const bool isolated = this->electedAt <= oldest
+                          && !this->quorumAckedSince(oldest + state::Duration(1), this->members());
     // A leader whose disk hangs would keep its lease but acknowledge nothing, so it steps down. Its
     // vote requests stay held until the disk completes the pending writes.
-    const bool stalled = !this->writes.empty()
-                         && this->writes.front().issued + this->settings.diskStall <= this->now;
+    const bool stalled =
+            !this->writes.empty()
+            && this->writes.front().issued + this->settings.diskStallTimeout <= this->now;
     if (isolated || stalled) {
         this->becomeFollower(this->hardState.currentTerm, {});
         return;
     }
     if (this->nextHeartbeat <= this->now)
-        this->heartbeat();
+        this->sendHeartbeats();
 }
 
 void Consensus::handle(const Received &received)
@@ -122,10 +122,10 @@
 
 void Consensus::handle(const Persisted &done)
 {
-    if (this->role == Role::Stopped || done.sequence <= this->doneSequence)
+    if (this->role == Role::Stopped || done.sequence <= this->persistedSequence)
         return;
-    this->doneSequence = std::min(done.sequence, this->issuedSequence);
-    while (!this->writes.empty() && this->writes.front().sequence <= this->doneSequence) {
+    this->persistedSequence = std::min(done.sequence, this->issuedSequence);
+    while (!this->writes.empty() && this->writes.front().sequence <= this->persistedSequence) {
         this->persisted = this->writes.front().last;
         this->writes.pop_front();
     }
@@ -143,28 +143,28 @@
 
 void Consensus::handle(const SnapshotTaken &taken)
 {
-    this->snapshotAsked = false;
+    this->snapshotRequested = false;
     const std::uint64_t last = taken.snapshot->last.index;
     if (last > this->applied || last <= this->latestSnapshot->last.index)
         return;
     this->latestSnapshot = taken.snapshot;
-    if (last <= this->log.beginning().index + this->settings.trailingEntries)
+    if (last <= this->log.startPosition().index + this->settings.trailingEntries)
         return;
     this->log.compactTo(last - this->settings.trailingEntries);
     while (this->configurations.size() > 1
-           && this->configurations[1].index <= this->log.beginning().index)
+           && this->configurations[1].index <= this->log.startPosition().index)
         this->configurations.pop_front();
 }
 
-Actions Consensus::finish()
+Actions Consensus::finishStep()
 {
     if (this->role != Role::Stopped)
-        this->answerReady();
+        this->answerCompletedRequests();
     if (this->actions.persistSequence != 0)
         this->writes.push_back({this->issuedSequence, this->log.last().index, this->now});
-    for (Message &message : this->unsentAnswers)
-        this->held.push_back({this->issuedSequence, std::move(message)});
-    this->unsentAnswers.clear();
+    for (Message &message : this->messagesAfterPersist)
+        this->heldMessages.push_back({this->issuedSequence, std::move(message)});
+    this->messagesAfterPersist.clear();
     this->releaseHeldMessages();
     return std::move(this->actions);
 }
@@ -176,8 +176,8 @@
     this->abandonProposals();
     this->role = Role::Stopped;
     this->leader = {};
-    this->held.clear();
-    this->unsentAnswers.clear();
+    this->heldMessages.clear();
+    this->messagesAfterPersist.clear();
     this->actions = Actions{.answers = std::move(this->actions.answers),
                             .reads = std::move(this->actions.reads)};
     this->actions.roleChange = RoleChange{Role::Stopped, {}, {}, error};
@@ -193,18 +193,19 @@
 // no member stores.
 void Consensus::sendWhenPersisted(const state::VmId &to, MessageBody body)
 {
-    this->unsentAnswers.push_back({this->self, to, std::move(body)});
+    this->messagesAfterPersist.push_back({this->self, to, std::move(body)});
 }
 
 void Consensus::releaseHeldMessages()
 {
-    while (!this->held.empty() && this->held.front().sequence <= this->doneSequence) {
-        this->actions.messages.push_back(std::move(this->held.front().message));
-        this->held.pop_front();
+    while (!this->heldMessages.empty()
+           && this->heldMessages.front().sequence <= this->persistedSequence) {
+        this->actions.messages.push_back(std::move(this->heldMessages.front().message));
+        this->heldMessages.pop_front();
     }
 }
 
-std::uint64_t Consensus::markPersist()
+std::uint64_t Consensus::assignWriteSequence()
 {
     if (this->actions.persistSequence == 0)
         this->actions.persistSequence = ++this->issuedSequence;
@@ -217,13 +218,13 @@
     if (next == this->hardState)
         return;
     this->hardState = next;
-    this->markPersist();
+    this->assignWriteSequence();
     this->actions.hardState = next;
 }
 
 void Consensus::appendEntry(LogEntry entry)
 {
-    this->markPersist();
+    this->assignWriteSequence();
     this->actions.entries.push_back(entry);
     if (entry.kind == LogEntryKind::Configuration) {
         // The sender validated the set, so a decoding error is a bug in this process or its peer.
@@ -259,24 +260,24 @@
     while (this->applied < limit)
         this->actions.committed.push_back(this->log.at(++this->applied));
     if (this->role == Role::Leader)
-        this->establish();
-    this->askForSnapshot();
+        this->establishLeadership();
+    this->requestSnapshot();
 }
 
-void Consensus::askForSnapshot()
+void Consensus::requestSnapshot()
 {
     const std::size_t payloadLimit =
-            std::clamp(this->latestSnapshot->bytes.size(), this->settings.compactionLeastBytes,
-                       this->settings.compactionBytes);
+            std::clamp(this->latestSnapshot->bytes.size(), this->settings.minimumCompactionBytes,
+                       this->settings.maximumCompactionBytes);
     const bool due = this->log.size() > this->settings.compactionEntries
                      || this->log.payloadBytes() > payloadLimit;
     const std::uint64_t newEntries = this->applied - this->latestSnapshot->last.index;
-    if (!due || this->snapshotAsked || newEntries == 0
+    if (!due || this->snapshotRequested || newEntries == 0
         || newEntries < this->settings.trailingEntries / 2)
         return;
-    this->snapshotAsked = true;
-    this->actions.snapshotWanted = SnapshotWanted{{*this->log.termAt(this->applied), this->applied},
-                                                  this->committedMembers().encode()};
+    this->snapshotRequested = true;
+    this->actions.snapshotRequest = SnapshotRequest{
+            {*this->log.termAt(this->applied), this->applied}, this->committedMembers().encode()};
 }
 
 const MemberSet &Consensus::committedMembers() const
--- a/src/coordination/consensus/Consensus.h
+++ b/src/coordination/consensus/Consensus.h
@@ -28,7 +28,7 @@
 // State read from disk at startup. The driver has already restored its own state from `snapshot`.
 // The initial member set is passed as a snapshot at position {0, 0}; a new member starts with an
 // empty set.
-struct Stored
+struct StoredState
 {
     state::log::HardState hardState;
     state::log::LogSnapshot snapshot;
@@ -42,7 +42,7 @@
     // Errors: InvalidArgument (settings, id), Corrupt (snapshot, entries and term are
     // inconsistent).
     static state::Result<Consensus> create(const Settings &settings, const state::VmId &self,
-                                           const Stored &stored, std::uint64_t seed,
+                                           const StoredState &stored, std::uint64_t seed,
                                            state::Instant now);
 
     Actions step(const Event &event, state::Instant now);
@@ -110,20 +110,20 @@
     void handle(const Persisted &persisted);
     void handle(const PersistFailed &failed);
     void handle(const SnapshotTaken &taken);
-    Actions finish();
+    Actions finishStep();
     void halt(const state::Error &error);
     void send(const state::VmId &to, MessageBody body);
     void sendWhenPersisted(const state::VmId &to, MessageBody body);
-    std::uint64_t markPersist();
+    std::uint64_t assignWriteSequence();
     void writeHardState(std::uint64_t term, const std::string &votedFor);
     void appendEntry(state::log::LogEntry entry);
     void truncateFrom(std::uint64_t index);
     void applyCommitted();
-    void askForSnapshot();
+    void requestSnapshot();
     void releaseHeldMessages();
 
     // Election.cpp
-    bool hearsLeader() const;
+    bool hasActiveLeader() const;
     void resetElectionTimer();
     void startPreVote();
     void startElection();
@@ -135,30 +135,31 @@
     void handle(const state::VmId &from, const VoteResponse &response);
 
     // Replication.cpp
-    void heartbeat();
+    void sendHeartbeats();
     void sendAppend(const state::VmId &peer, Progress &peerProgress, bool evenIfEmpty);
     void sendNewEntries();
     void handle(const state::VmId &from, const AppendResponse &response);
     // Returns the peer's progress if this member leads in the response's term, otherwise nullptr.
     // Steps down if the response's term is higher.
-    Progress *answering(const state::VmId &from, std::uint64_t term, SendStamp stamp);
-    void noteAnswer(Progress &peerProgress, SendStamp stamp);
-    void onRefused(const state::VmId &from, Progress &peerProgress, const AppendResponse &response);
+    Progress *progressForResponse(const state::VmId &from, std::uint64_t term, SendStamp stamp);
+    void recordAck(Progress &peerProgress, SendStamp stamp);
+    void onAppendRejected(const state::VmId &from, Progress &peerProgress,
+                          const AppendResponse &response);
     void advanceCommit();
-    void establish();
-    std::optional<state::Instant> quorumAcked() const;
-    bool quorumAnswersSince(state::Instant since, const MemberSet &set) const;
-    void syncProgress();
+    void establishLeadership();
+    std::optional<state::Instant> quorumAckTime() const;
+    bool quorumAckedSince(state::Instant since, const MemberSet &set) const;
+    void updateTrackedPeers();
 
     // Following.cpp
     void handle(const state::VmId &from, const AppendRequest &request);
     void storeEntries(const AppendRequest &request);
     std::uint64_t matchHint(const state::log::LogPosition &previous) const;
-    void hearLeader(const state::VmId &from, std::uint64_t term);
+    void onLeaderContact(const state::VmId &from, std::uint64_t term);
 
     // SnapshotTransfer.cpp
-    void sendSnapshotPiece(const state::VmId &peer, Progress &peerProgress);
-    void handle(const state::VmId &from, const SnapshotPiece &chunk);
+    void sendSnapshotChunk(const state::VmId &peer, Progress &peerProgress);
+    void handle(const state::VmId &from, const SnapshotChunk &chunk);
     void handle(const state::VmId &from, const SnapshotResponse &response);
     void installSnapshot(IncomingSnapshot complete, const MemberSet &members);
 
@@ -168,7 +169,7 @@
     void handle(const Read &read);
     std::optional<ProposalAnswer> refusal(ProposalId id) const;
     state::Result<MemberSet> checkChange(const MemberChange &change) const;
-    void answerReady();
+    void answerCompletedRequests();
     void abandonProposals();
 
     Settings settings;
@@ -185,30 +186,30 @@
     std::uint64_t applied = 0;      // <= commit, <= persisted
     std::uint64_t persisted = 0;    // last log index synced on this member
     SnapshotPointer pendingRestore; // received snapshot; restored once synced
-    bool snapshotAsked = false;
+    bool snapshotRequested = false;
 
     std::uint64_t issuedSequence = 0;
-    std::uint64_t doneSequence = 0;
-    std::deque<Write> writes;     // by sequence, all above persistedSequence
-    std::deque<HeldMessage> held; // by sequence
+    std::uint64_t persistedSequence = 0;
+    std::deque<Write> writes;             // by sequence, all above persistedSequence
+    std::deque<HeldMessage> heldMessages; // by sequence
     // Messages of this step that are held until all writes issued so far are synced.
-    std::vector<Message> unsentAnswers;
+    std::vector<Message> messagesAfterPersist;
 
     Role role = Role::Follower;
     state::VmId leader; // of the current term, empty if unknown
     // Last contact with a leader, or startup. A crash loses the time of the last contact, so a
     // restarted member assumes the latest one possible and withholds its vote that long.
-    state::Instant leaderHeard;
+    state::Instant lastLeaderContact;
     state::Instant electionDue;
     std::set<state::VmId> votes;
     std::uint64_t ownVoteSequence = 0; // the vote for itself counts once this write is synced
-    std::optional<IncomingSnapshot> incoming;
+    std::optional<IncomingSnapshot> incomingSnapshot;
 
     // Leader only.
     std::map<state::VmId, Progress> progress; // every other member
     state::Instant electedAt;
     state::Instant nextHeartbeat;
-    std::uint64_t firstOwnIndex = 0;     // of the no-op entry that starts this term
+    std::uint64_t termStartIndex = 0;    // of the no-op entry that starts this term
     bool established = false;            // the entry at termStartIndex is committed and applied
     std::deque<PendingProposal> pending; // by index
     std::deque<WaitingRead> waitingReads;
--- a/src/coordination/consensus/Election.cpp
+++ b/src/coordination/consensus/Election.cpp
@@ -10,11 +10,11 @@
 
 // The voter's side of the leader lease: while this returns true, this member grants no vote.
 // Otherwise a new leader could be elected while the old one still answers reads from stale state.
-bool Consensus::hearsLeader() const
+bool Consensus::hasActiveLeader() const
 {
     if (this->role == Role::Leader)
         return this->holdsLease(this->now);
-    return this->now < this->leaderHeard + this->settings.electionTimeout;
+    return this->now < this->lastLeaderContact + this->settings.electionTimeout;
 }
 
 void Consensus::resetElectionTimer()
@@ -57,7 +57,7 @@
 
 void Consensus::countVotes()
 {
-    if (this->role == Role::Candidate && this->doneSequence >= this->ownVoteSequence)
+    if (this->role == Role::Candidate && this->persistedSequence >= this->ownVoteSequence)
         this->votes.insert(this->self);
     const auto granted = static_cast<std::size_t>(
             std::count_if(this->votes.begin(), this->votes.end(), [this](const state::VmId &voter) {
@@ -85,7 +85,8 @@
     this->leader = newLeader;
     this->established = false;
     this->progress.clear();
-    this->incoming.reset(); // another leader's snapshot at the same position may differ in bytes
+    this->incomingSnapshot
+            .reset(); // another leader's snapshot at the same position may differ in bytes
 }
 
 void Consensus::becomeLeader()
@@ -95,17 +96,17 @@
     this->established = false;
     this->electedAt = this->now;
     this->progress.clear();
-    this->syncProgress();
+    this->updateTrackedPeers();
     // Entries of earlier terms are committed only indirectly, by an entry of this term after them.
-    this->firstOwnIndex = this->log.last().index + 1;
+    this->termStartIndex = this->log.last().index + 1;
     this->appendEntry(
-            LogEntry{{this->hardState.currentTerm, this->firstOwnIndex}, LogEntryKind::Noop, {}});
-    this->heartbeat();
+            LogEntry{{this->hardState.currentTerm, this->termStartIndex}, LogEntryKind::Noop, {}});
+    this->sendHeartbeats();
 }
 
 void Consensus::handle(const state::VmId &from, const VoteRequest &request)
 {
-    if (this->hearsLeader())
+    if (this->hasActiveLeader())
         return;
     const bool logUpToDate = request.last >= this->log.last();
     if (request.preVote) {
--- a/src/coordination/consensus/Events.h
+++ b/src/coordination/consensus/Events.h
@@ -50,7 +50,7 @@
 
 // Lease: answered without a message while the lease holds. QuorumRound: waits until a quorum
 // answers a heartbeat sent after the read arrived, and so does not depend on clocks.
-enum class ReadKind : std::uint8_t { Lease, Round };
+enum class ReadKind : std::uint8_t { Lease, QuorumRound };
 
 struct Read
 {
@@ -123,7 +123,7 @@
 
 // Asks the driver to store the state applied so far as a snapshot and to return it in
 // SnapshotTaken.
-struct SnapshotWanted
+struct SnapshotRequest
 {
     state::log::LogPosition last;
     std::string configuration;
@@ -150,7 +150,7 @@
     std::vector<ProposalAnswer> answers;
     std::vector<ReadAnswer> reads;
     std::optional<RoleChange> roleChange;
-    std::optional<SnapshotWanted> snapshotWanted;
+    std::optional<SnapshotRequest> snapshotRequest;
 };
 
 } // namespace lavenderthread::coordination::consensus
--- a/src/coordination/consensus/Following.cpp
+++ b/src/coordination/consensus/Following.cpp
@@ -8,11 +8,11 @@
 using state::log::LogEntry;
 using state::log::LogPosition;
 
-void Consensus::hearLeader(const state::VmId &from, std::uint64_t term)
+void Consensus::onLeaderContact(const state::VmId &from, std::uint64_t term)
 {
     if (term > this->hardState.currentTerm || this->role != Role::Follower || this->leader != from)
         this->becomeFollower(term, from);
-    this->leaderHeard = this->now;
+    this->lastLeaderContact = this->now;
     this->resetElectionTimer();
 }
 
@@ -25,11 +25,12 @@
     }
     if (request.term == current && this->role == Role::Leader)
         return; // a term has only one leader: the message is forged or misdirected
-    this->hearLeader(from, request.term);
-    if (request.previous.index < this->log.beginning().index) {
+    this->onLeaderContact(from, request.term);
+    if (request.previous.index < this->log.startPosition().index) {
         // The snapshot covers this position, so it is committed and matches every leader's log.
-        this->sendWhenPersisted(from, AppendResponse{request.term, true,
-                                                     this->log.beginning().index, request.stamp});
+        this->sendWhenPersisted(
+                from,
+                AppendResponse{request.term, true, this->log.startPosition().index, request.stamp});
         return;
     }
     if (!this->log.contains(request.previous)) {
@@ -86,7 +87,7 @@
     if (!term)
         return this->log.last().index;
     std::uint64_t index = previous.index;
-    while (index > this->commit && index > this->log.beginning().index
+    while (index > this->commit && index > this->log.startPosition().index
            && this->log.termAt(index) == term)
         --index;
     return index;
--- a/src/coordination/consensus/MemberPlan.cpp
+++ b/src/coordination/consensus/MemberPlan.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-const Candidate *findById(const std::vector<Candidate> &live, const state::VmId &id)
+const MemberCandidate *findById(const std::vector<MemberCandidate> &live, const state::VmId &id)
 {
-    const auto found = std::ranges::find(live, id, &Candidate::id);
+    const auto found = std::ranges::find(live, id, &MemberCandidate::id);
     return found == live.end() ? nullptr : &*found;
 }
 
 } // namespace
 
-bool MemberPlan::isGone(const Member &member, const std::vector<Candidate> &live,
+bool MemberPlan::isGone(const Member &member, const std::vector<MemberCandidate> &live,
                         state::Instant now)
 {
     if (findById(live, member.id) != nullptr) {
@@ -23,12 +23,13 @@
         return false;
     }
     const state::Instant since = this->awaySince.emplace(member.id, now).first->second;
-    const bool addressTaken = std::ranges::any_of(
-            live, [&](const Candidate &candidate) { return candidate.address == member.address; });
+    const bool addressTaken = std::ranges::any_of(live, [&](const MemberCandidate &candidate) {
+        return candidate.address == member.address;
+    });
     return addressTaken || now - since >= this->settings.replaceAfter;
 }
 
-MemberSet MemberPlan::target(const MemberSet &current, const std::vector<Candidate> &live,
+MemberSet MemberPlan::target(const MemberSet &current, const std::vector<MemberCandidate> &live,
                              state::Instant now)
 {
     std::vector<Member> wanted;
@@ -43,7 +44,7 @@
         temporarilyAway += isLive ? 0 : 1;
         wanted.push_back({member.id, member.address, MemberRole::Voter});
     }
-    for (const Candidate &candidate : live) {
+    for (const MemberCandidate &candidate : live) {
         if (wanted.size() >= this->settings.wantedVoters)
             break;
         if (current.find(candidate.id) == nullptr)
--- a/src/coordination/consensus/MemberPlan.h
+++ b/src/coordination/consensus/MemberPlan.h
@@ -11,12 +11,12 @@
 namespace lavenderthread::coordination::consensus {
 
 // A process with a data folder that membership reports as alive.
-struct Candidate
+struct MemberCandidate
 {
     state::VmId id; // stored in its data folder
     state::Address address;
 
-    auto operator<=>(const Candidate &) const = default;
+    auto operator<=>(const MemberCandidate &) const = default;
 };
 
 struct MemberPlanSettings
@@ -39,11 +39,11 @@
     // removed only if enough others are alive: after replaceAfter, or at once if another identity
     // is alive at its address. Its disk is then lost for good, and until its removal it counts
     // against every quorum.
-    MemberSet target(const MemberSet &current, const std::vector<Candidate> &live,
+    MemberSet target(const MemberSet &current, const std::vector<MemberCandidate> &live,
                      state::Instant now);
 
 private:
-    bool isGone(const Member &member, const std::vector<Candidate> &live, state::Instant now);
+    bool isGone(const Member &member, const std::vector<MemberCandidate> &live, state::Instant now);
 
     MemberPlanSettings settings;
     std::map<state::VmId, state::Instant> awaySince; // of members that are not live
--- a/src/coordination/consensus/MemoryLog.h
+++ b/src/coordination/consensus/MemoryLog.h
@@ -17,7 +17,7 @@
         : start(position)
     {}
 
-    const state::log::LogPosition &beginning() const { return this->start; }
+    const state::log::LogPosition &startPosition() const { return this->start; }
     state::log::LogPosition last() const;
     std::size_t size() const { return this->entries.size(); }
     std::size_t payloadBytes() const { return this->bytes; }
--- a/src/coordination/consensus/Messages.h
+++ b/src/coordination/consensus/Messages.h
@@ -80,7 +80,7 @@
     }
 };
 
-struct SnapshotPiece
+struct SnapshotChunk
 {
     std::uint64_t term = 0;
     state::log::LogPosition last;
@@ -90,7 +90,7 @@
     std::string bytes;
     SendStamp stamp = 0;
 
-    auto operator<=>(const SnapshotPiece &) const = default;
+    auto operator<=>(const SnapshotChunk &) const = default;
 
     template <typename Archive>
     void serialize(Archive &archive)
@@ -118,7 +118,7 @@
 };
 
 using MessageBody = std::variant<VoteRequest, VoteResponse, AppendRequest, AppendResponse,
-                                 SnapshotPiece, SnapshotResponse>;
+                                 SnapshotChunk, SnapshotResponse>;
 
 struct Message
 {
--- a/src/coordination/consensus/Progress.h
+++ b/src/coordination/consensus/Progress.h
@@ -24,9 +24,9 @@
     // otherwise each of many rejected appends would start its own transfer. A retransmission does
     // not change it: with a round trip longer than a heartbeat interval, every response would
     // otherwise count as too old.
-    SendStamp waitingFor = 0;
-    state::Instant pieceSent;            // last transmission of the current chunk
-    std::optional<state::Instant> acked; // send time of the newest answered request
+    SendStamp awaitedStamp = 0;
+    state::Instant chunkSentAt;                      // last transmission of the current chunk
+    std::optional<state::Instant> lastAckedSendTime; // send time of the newest answered request
 
     SnapshotPointer snapshot; // kept until the transfer ends, even if a newer one exists
     std::uint64_t snapshotOffset = 0;
--- a/src/coordination/consensus/Proposals.cpp
+++ b/src/coordination/consensus/Proposals.cpp
@@ -70,7 +70,7 @@
     const state::log::LogPosition position{this->hardState.currentTerm, this->log.last().index + 1};
     this->appendEntry(LogEntry{position, LogEntryKind::Configuration, next.value().encode()});
     this->pending.push_back({propose.id, position});
-    this->syncProgress();
+    this->updateTrackedPeers();
     this->sendNewEntries();
 }
 
@@ -89,7 +89,7 @@
         && !this->caughtUpLearners(this->now).contains(change.member.id))
         return refuse("the learner is not caught up");
     // A member set without a responsive quorum could commit nothing, not even its own repair.
-    if (!this->quorumAnswersSince(this->now - this->settings.electionTimeout, next))
+    if (!this->quorumAckedSince(this->now - this->settings.electionTimeout, next))
         return refuse("too few of the remaining voters answer");
     return next;
 }
@@ -99,7 +99,8 @@
     std::set<state::VmId> found;
     for (const auto &[id, peerProgress] : this->progress) {
         const bool answers =
-                peerProgress.acked && *peerProgress.acked + this->settings.electionTimeout >= at;
+                peerProgress.lastAckedSendTime
+                && *peerProgress.lastAckedSendTime + this->settings.electionTimeout >= at;
         if (!this->members().isVoter(id) && answers && peerProgress.match >= this->commit)
             found.insert(id);
     }
@@ -114,14 +115,14 @@
         return;
     }
     this->waitingReads.push_back({read, this->now, std::nullopt});
-    if (read.kind == ReadKind::Round)
-        this->heartbeat();
+    if (read.kind == ReadKind::QuorumRound)
+        this->sendHeartbeats();
 }
 
 // Answers proposals that are committed and applied while the lease holds, and reads whose
 // leadership check succeeded. A deposed leader may still receive late responses that commit an
 // entry; without the lease it does not acknowledge the entry and leaves that to its successor.
-void Consensus::answerReady()
+void Consensus::answerCompletedRequests()
 {
     if (this->role != Role::Leader || !this->established)
         return;
@@ -133,7 +134,7 @@
                                                        .position = this->pending.front().position});
         this->pending.pop_front();
     }
-    const std::optional<state::Instant> acked = this->quorumAcked();
+    const std::optional<state::Instant> acked = this->quorumAckTime();
     std::deque<WaitingRead> remaining;
     for (WaitingRead waiting : this->waitingReads) {
         const bool acknowledged = acked && *acked >= waiting.arrived;
--- a/src/coordination/consensus/Replication.cpp
+++ b/src/coordination/consensus/Replication.cpp
@@ -15,9 +15,9 @@
 
 } // namespace
 
-void Consensus::heartbeat()
+void Consensus::sendHeartbeats()
 {
-    this->nextHeartbeat = this->now + this->settings.heartbeat;
+    this->nextHeartbeat = this->now + this->settings.heartbeatInterval;
     for (auto &[peer, peerProgress] : this->progress)
         this->sendAppend(peer, peerProgress, true);
 }
@@ -32,12 +32,13 @@
 
 void Consensus::sendAppend(const state::VmId &peer, Progress &peerProgress, bool evenIfEmpty)
 {
-    const bool compacted = peerProgress.next <= this->log.beginning().index;
+    const bool compacted = peerProgress.next <= this->log.startPosition().index;
     if (compacted || peerProgress.mode == ProgressMode::Snapshot) {
-        const bool recentlySent = peerProgress.mode == ProgressMode::Snapshot
-                                  && this->now < peerProgress.pieceSent + this->settings.heartbeat;
+        const bool recentlySent =
+                peerProgress.mode == ProgressMode::Snapshot
+                && this->now < peerProgress.chunkSentAt + this->settings.heartbeatInterval;
         if (!recentlySent)
-            this->sendSnapshotPiece(peer, peerProgress);
+            this->sendSnapshotChunk(peer, peerProgress);
         return;
     }
     const std::uint64_t inFlight = peerProgress.next - 1 - peerProgress.match;
@@ -62,14 +63,16 @@
     this->send(peer, std::move(request));
 }
 
-void Consensus::noteAnswer(Progress &peerProgress, SendStamp stamp)
+void Consensus::recordAck(Progress &peerProgress, SendStamp stamp)
 {
     const state::Instant sent{state::Duration(stamp)};
-    if (sent <= this->now && (!peerProgress.acked || *peerProgress.acked < sent))
-        peerProgress.acked = sent;
+    if (sent <= this->now
+        && (!peerProgress.lastAckedSendTime || *peerProgress.lastAckedSendTime < sent))
+        peerProgress.lastAckedSendTime = sent;
 }
 
-Progress *Consensus::answering(const state::VmId &from, std::uint64_t term, SendStamp stamp)
+Progress *Consensus::progressForResponse(const state::VmId &from, std::uint64_t term,
+                                         SendStamp stamp)
 {
     if (term > this->hardState.currentTerm) {
         this->becomeFollower(term, {});
@@ -79,26 +82,26 @@
     if (this->role != Role::Leader || term < this->hardState.currentTerm
         || found == this->progress.end())
         return nullptr;
-    this->noteAnswer(found->second, stamp);
+    this->recordAck(found->second, stamp);
     return &found->second;
 }
 
 void Consensus::handle(const state::VmId &from, const AppendResponse &response)
 {
-    Progress *responder = this->answering(from, response.term, response.stamp);
+    Progress *responder = this->progressForResponse(from, response.term, response.stamp);
     if (responder == nullptr)
         return;
     Progress &peerProgress = *responder;
     if (!response.accepted) {
-        this->onRefused(from, peerProgress, response);
+        this->onAppendRejected(from, peerProgress, response);
         return;
     }
     if (response.index > this->log.last().index)
         return;
     peerProgress.match = std::max(peerProgress.match, response.index);
     peerProgress.next = std::max(peerProgress.next, peerProgress.match + 1);
-    const bool reached = peerProgress.next > this->log.beginning().index;
-    if (peerProgress.mode == ProgressMode::Probe && response.stamp >= peerProgress.waitingFor) {
+    const bool reached = peerProgress.next > this->log.startPosition().index;
+    if (peerProgress.mode == ProgressMode::Probe && response.stamp >= peerProgress.awaitedStamp) {
         peerProgress.mode = ProgressMode::Replicate;
         peerProgress.next = peerProgress.match + 1;
     } else if (peerProgress.mode == ProgressMode::Snapshot && reached) {
@@ -111,10 +114,10 @@
         this->sendAppend(from, peerProgress, false);
 }
 
-void Consensus::onRefused(const state::VmId &from, Progress &peerProgress,
-                          const AppendResponse &response)
+void Consensus::onAppendRejected(const state::VmId &from, Progress &peerProgress,
+                                 const AppendResponse &response)
 {
-    if (peerProgress.mode == ProgressMode::Snapshot || response.stamp < peerProgress.waitingFor)
+    if (peerProgress.mode == ProgressMode::Snapshot || response.stamp < peerProgress.awaitedStamp)
         return;
     const std::uint64_t next =
             std::max(peerProgress.match + 1, std::min(peerProgress.next, response.index + 1));
@@ -122,7 +125,7 @@
         return;
     peerProgress.next = next;
     peerProgress.mode = ProgressMode::Probe;
-    peerProgress.waitingFor = stampOf(this->now);
+    peerProgress.awaitedStamp = stampOf(this->now);
     this->sendAppend(from, peerProgress, true);
 }
 
@@ -141,26 +144,26 @@
         this->commit = reached;
 }
 
-void Consensus::establish()
+void Consensus::establishLeadership()
 {
-    if (!this->established && this->applied >= this->firstOwnIndex) {
+    if (!this->established && this->applied >= this->termStartIndex) {
         this->established = true;
         // Every order of this term carries the position of its own entry, which is above this one.
         this->actions.roleChange = RoleChange{Role::Leader,
-                                              {this->hardState.currentTerm, this->firstOwnIndex},
+                                              {this->hardState.currentTerm, this->termStartIndex},
                                               this->electedAt + this->settings.electionTimeout,
                                               std::nullopt};
     }
     // A leader that is being removed stays leader until its removal is committed.
     if (this->established && this->committedMembers().find(this->self) == nullptr) {
-        this->answerReady();
+        this->answerCompletedRequests();
         this->becomeFollower(this->hardState.currentTerm, {});
     }
 }
 
 // The latest send time such that a quorum has answered a request sent then or later; empty if there
 // is none or this member is not the leader.
-std::optional<state::Instant> Consensus::quorumAcked() const
+std::optional<state::Instant> Consensus::quorumAckTime() const
 {
     if (this->role != Role::Leader)
         return std::nullopt;
@@ -169,8 +172,9 @@
         if (id == this->self)
             return stampOf(this->now);
         const auto found = this->progress.find(id);
-        const bool hasAck = found != this->progress.end() && found->second.acked.has_value();
-        return hasAck ? stampOf(*found->second.acked) : never;
+        const bool hasAck =
+                found != this->progress.end() && found->second.lastAckedSendTime.has_value();
+        return hasAck ? stampOf(*found->second.lastAckedSendTime) : never;
     };
     const std::int64_t acked = quorumValue<std::int64_t>(this->members(), ackedOf);
     if (acked == never)
@@ -182,7 +186,7 @@
 {
     if (this->role != Role::Leader || !this->established)
         return std::nullopt;
-    const std::optional<state::Instant> acked = this->quorumAcked();
+    const std::optional<state::Instant> acked = this->quorumAckTime();
     if (!acked)
         return std::nullopt;
     return *acked + this->settings.lease();
@@ -194,14 +198,14 @@
     return until && at < *until;
 }
 
-bool Consensus::quorumAnswersSince(state::Instant since, const MemberSet &set) const
+bool Consensus::quorumAckedSince(state::Instant since, const MemberSet &set) const
 {
     std::size_t answering = 0;
     for (const Member &member : set.all()) {
         const auto found = this->progress.find(member.id);
         const bool answers = member.id == this->self
-                             || (found != this->progress.end() && found->second.acked
-                                 && *found->second.acked >= since);
+                             || (found != this->progress.end() && found->second.lastAckedSendTime
+                                 && *found->second.lastAckedSendTime >= since);
         if (answers && member.role == MemberRole::Voter)
             ++answering;
     }
@@ -209,7 +213,7 @@
 }
 
 // Keeps one Progress for every other member of the newest member set.
-void Consensus::syncProgress()
+void Consensus::updateTrackedPeers()
 {
     std::map<state::VmId, Progress> next;
     for (const Member &member : this->members().all()) {
--- a/src/coordination/consensus/Settings.cpp
+++ b/src/coordination/consensus/Settings.cpp
@@ -15,11 +15,11 @@
     const auto refuse = [](const char *cause) {
         return state::makeError(state::ErrorCode::InvalidArgument, "consensus.settings", cause);
     };
-    if (this->heartbeat.count() <= 0)
+    if (this->heartbeatInterval.count() <= 0)
         return refuse("heartbeatInterval must be above 0");
-    if (this->electionTimeout < 3 * this->heartbeat)
+    if (this->electionTimeout < 3 * this->heartbeatInterval)
         return refuse("electionTimeout must be at least 3 * heartbeatInterval");
-    if (this->diskStall < this->electionTimeout)
+    if (this->diskStallTimeout < this->electionTimeout)
         return refuse("diskStallTimeout must be at least electionTimeout");
     if (this->clockDriftPerMille > maximumDriftPerMille)
         return refuse("clockDriftPerMille must be at most 200");
@@ -29,10 +29,10 @@
                       "maximumInFlightEntries at least maximumBatchEntries");
     if (this->maximumPayloadBytes == 0 || this->maximumPayloadBytes > this->maximumBatchBytes)
         return refuse("maximumPayloadBytes must be 1 to maximumBatchBytes");
-    if (this->snapshotPieceBytes == 0 || this->compactionEntries <= this->trailingEntries)
+    if (this->snapshotChunkBytes == 0 || this->compactionEntries <= this->trailingEntries)
         return refuse(
                 "snapshotChunkBytes must be above 0, and compactionEntries above trailingEntries");
-    if (this->compactionLeastBytes > this->compactionBytes)
+    if (this->minimumCompactionBytes > this->maximumCompactionBytes)
         return refuse("minimumCompactionBytes must be at most maximumCompactionBytes");
     return state::outcome::success();
 }
--- a/src/coordination/directory/Directory.h
+++ b/src/coordination/directory/Directory.h
@@ -48,7 +48,7 @@
     // is replaced.
     DirectoryAnswer answer(const DirectoryRequest &request,
                            const membership::MemberTable &members) const;
-    const DirectorySettings &current() const { return this->settings; }
+    const DirectorySettings &currentSettings() const { return this->settings; }
 
 private:
     explicit Directory(const DirectorySettings &chosen)
--- a/src/coordination/directory/EntryShutdown.cpp
+++ b/src/coordination/directory/EntryShutdown.cpp
@@ -5,19 +5,20 @@
 
 void EntryShutdown::begin(state::Instant now)
 {
-    if (this->current != ShutdownStage::Serving)
+    if (this->currentStage != ShutdownStage::Serving)
         return;
-    this->current = ShutdownStage::Announced;
+    this->currentStage = ShutdownStage::Announced;
     this->beganAt = now;
 }
 
 ShutdownStage EntryShutdown::tick(std::size_t requestsInFlight, state::Instant now)
 {
-    if (this->current == ShutdownStage::Announced && now - this->beganAt >= this->acceptFor)
-        this->current = ShutdownStage::Refusing;
-    if (this->current == ShutdownStage::Refusing && requestsInFlight == 0)
-        this->current = ShutdownStage::Finished;
-    return this->current;
+    if (this->currentStage == ShutdownStage::Announced
+        && now - this->beganAt >= this->acceptDuration)
+        this->currentStage = ShutdownStage::Refusing;
+    if (this->currentStage == ShutdownStage::Refusing && requestsInFlight == 0)
+        this->currentStage = ShutdownStage::Finished;
+    return this->currentStage;
 }
 
 } // namespace lavenderthread::coordination::directory
--- a/src/coordination/directory/EntryShutdown.h
+++ b/src/coordination/directory/EntryShutdown.h
@@ -23,19 +23,19 @@
     // `propagationTime`: until every other entry node has stopped listing this one. `timeToLive`:
     // of directory answers.
     EntryShutdown(state::Duration propagationTime, state::Duration timeToLive)
-        : acceptFor(propagationTime + timeToLive)
+        : acceptDuration(propagationTime + timeToLive)
     {}
 
     void begin(state::Instant now);
     ShutdownStage tick(std::size_t requestsInFlight, state::Instant now);
-    ShutdownStage stage() const { return this->current; }
+    ShutdownStage stage() const { return this->currentStage; }
 
 private:
     // The last answer that lists this entry node is made just before the update arrives, so
     // accepting for propagation time plus time to live serves every holder of an answer.
-    state::Duration acceptFor;
+    state::Duration acceptDuration;
     state::Instant beganAt;
-    ShutdownStage current = ShutdownStage::Serving; // only moves forward
+    ShutdownStage currentStage = ShutdownStage::Serving; // only moves forward
 };
 
 } // namespace lavenderthread::coordination::directory
--- a/src/coordination/directory/LeavingPlan.cpp
+++ b/src/coordination/directory/ShutdownSchedule.cpp
@@ -1,4 +1,4 @@
-#include "coordination/directory/LeavingPlan.h"
+#include "coordination/directory/ShutdownSchedule.h"
 
 #include <algorithm>
 
@@ -15,11 +15,11 @@
 
 } // namespace
 
-LeavingPlan LeavingPlan::within(state::Duration termination)
+ShutdownSchedule ShutdownSchedule::within(state::Duration termination)
 {
-    LeavingPlan plan;
-    plan.takesCalls = termination * acceptEighths / eighthsPerWhole;
-    plan.ends = std::max(plan.takesCalls, termination - killMargin);
+    ShutdownSchedule plan;
+    plan.acceptCallsFor = termination * acceptEighths / eighthsPerWhole;
+    plan.exitAfter = std::max(plan.acceptCallsFor, termination - killMargin);
     return plan;
 }
 
--- a/src/coordination/directory/LeavingPlan.h
+++ b/src/coordination/directory/ShutdownSchedule.h
@@ -9,17 +9,17 @@
 namespace lavenderthread::coordination::directory {
 
 // Immutable. Both times count from the termination signal.
-struct LeavingPlan
+struct ShutdownSchedule
 {
     // Calls are accepted for this long, since callers keep a directory answer for some seconds and
     // continue to call meanwhile.
-    state::Duration takesCalls{0};
-    state::Duration ends{0}; // calls still in flight then are aborted
+    state::Duration acceptCallsFor{0};
+    state::Duration exitAfter{0}; // calls still in flight then are aborted
 
-    auto operator<=>(const LeavingPlan &) const = default;
+    auto operator<=>(const ShutdownSchedule &) const = default;
 
     // `termination`: from the signal until the process is killed.
-    static LeavingPlan within(state::Duration termination);
+    static ShutdownSchedule within(state::Duration termination);
 };
 
 } // namespace lavenderthread::coordination::directory
--- a/src/coordination/endpoints/EndpointLife.cpp
+++ b/src/coordination/endpoints/EndpointLifecycle.cpp
@@ -1,5 +1,5 @@
 // Handles announcements, renewals, expiry and the takeover of the home role.
-#include "coordination/endpoints/EndpointLife.h"
+#include "coordination/endpoints/EndpointLifecycle.h"
 
 namespace lavenderthread::coordination::endpoints {
 
@@ -51,8 +51,9 @@
 
 } // namespace
 
-state::Result<EndpointLife> EndpointLife::create(const EndpointLifeSettings &settings,
-                                                 state::VmId self, state::Instant now)
+state::Result<EndpointLifecycle>
+EndpointLifecycle::create(const EndpointLifecycleSettings &settings, state::VmId self,
+                          state::Instant now)
 {
     constexpr int renewalsBeforeExpiry = 2; // so that one lost renewal does not expire the endpoint
     if (self.empty() || settings.renewAfter <= state::Duration::zero()
@@ -60,12 +61,12 @@
         return state::makeError(state::ErrorCode::InvalidArgument, "endpoint-life.create",
                                 "needs an id, a renewal interval above 0 and an expiry of at least "
                                 "two renewal intervals");
-    return EndpointLife(settings, std::move(self), now);
+    return EndpointLifecycle(settings, std::move(self), now);
 }
 
 state::Result<std::optional<EndpointRecord>>
-EndpointLife::announce(const state::EndpointDescription &description, const EndpointWorld &context,
-                       state::Instant now)
+EndpointLifecycle::announce(const state::EndpointDescription &description,
+                            const EndpointContext &context, state::Instant now)
 {
     const auto fail = [&](state::ErrorCode code, const char *cause) {
         return state::makeError(code, "endpoint.announce", cause, description.id.value());
@@ -92,12 +93,12 @@
     if (changed)
         return std::optional(withDescription(known, description,
                                              this->livePhase(description.id, now), this->self));
-    return this->reviewRenewed(known, this->renewals.at(description.id), context, now);
+    return this->updateForRenewal(known, this->renewals.at(description.id), context, now);
 }
 
-state::Result<std::optional<EndpointRecord>> EndpointLife::leave(const state::EndpointId &endpoint,
-                                                                 std::uint64_t incarnation,
-                                                                 const EndpointWorld &context)
+state::Result<std::optional<EndpointRecord>>
+EndpointLifecycle::leave(const state::EndpointId &endpoint, std::uint64_t incarnation,
+                         const EndpointContext &context)
 {
     const EndpointEntry *entry = context.table.find(endpoint);
     if (entry == nullptr || entry->record.incarnation == 0)
@@ -113,10 +114,11 @@
     return std::optional(nextVersion(known, EndpointPhase::Left, this->self));
 }
 
-std::vector<EndpointRecord> EndpointLife::tick(const EndpointWorld &context, state::Instant now)
+std::vector<EndpointRecord> EndpointLifecycle::tick(const EndpointContext &context,
+                                                    state::Instant now)
 {
     std::erase_if(this->renewals, [&](const auto &item) { return now >= item.second.expires; });
-    this->damping.forgetCalm(now);
+    this->damping.forgetStable(now);
     std::vector<EndpointRecord> publish;
     for (const auto &[id, entry] : context.table.entries()) {
         const EndpointRecord &known = entry.record;
@@ -129,11 +131,11 @@
         if (isOlder || known.phase == EndpointPhase::Left) {
             this->renewals.erase(id);
         } else if (renewal != this->renewals.end()) {
-            if (auto next = this->reviewRenewed(known, renewal->second, context, now))
+            if (auto next = this->updateForRenewal(known, renewal->second, context, now))
                 publish.push_back(std::move(*next));
             continue;
         }
-        if (this->hasEnded(known, context, now)
+        if (this->shouldExpireOrphan(known, context, now)
             || (known.home == this->self && known.phase != EndpointPhase::Left
                 && known.phase != EndpointPhase::Expired
                 && now - this->startedAt >= this->settings.expiresAfter
@@ -143,14 +145,14 @@
     return publish;
 }
 
-bool EndpointLife::isAnnouncedHere(const state::EndpointId &endpoint,
-                                   std::uint64_t incarnation) const
+bool EndpointLifecycle::isAnnouncedHere(const state::EndpointId &endpoint,
+                                        std::uint64_t incarnation) const
 {
     const auto found = this->renewals.find(endpoint);
     return found != this->renewals.end() && found->second.description.incarnation == incarnation;
 }
 
-void EndpointLife::renew(const state::EndpointDescription &description, state::Instant now)
+void EndpointLifecycle::renew(const state::EndpointDescription &description, state::Instant now)
 {
     const auto found = this->renewals.find(description.id);
     state::Instant since = now;
@@ -158,36 +160,36 @@
         const state::Instant renewedAt = found->second.expires - this->settings.expiresAfter;
         const bool isUnbroken = now - renewedAt < this->settings.renewAfter * 2
                                 && found->second.description.incarnation == description.incarnation;
-        since = isUnbroken ? found->second.since : now;
+        since = isUnbroken ? found->second.unbrokenSince : now;
     }
     this->renewals.insert_or_assign(description.id,
                                     Renewal{description, now + this->settings.expiresAfter, since});
 }
 
-EndpointPhase EndpointLife::livePhase(const state::EndpointId &endpoint, state::Instant now)
+EndpointPhase EndpointLifecycle::livePhase(const state::EndpointId &endpoint, state::Instant now)
 {
     return this->damping.isHeld(endpoint, now) ? EndpointPhase::Held : EndpointPhase::Live;
 }
 
-bool EndpointLife::takesOver(const EndpointRecord &known, const EndpointWorld &context,
-                             state::Instant now) const
+bool EndpointLifecycle::shouldTakeOver(const EndpointRecord &known, const EndpointContext &context,
+                                       state::Instant now) const
 {
     if (known.phase == EndpointPhase::Expired || !isLiveMember(known.home, context.members))
         return true;
     // If two entry nodes both receive every renewal, only the one with the lower id may take the
     // role over; otherwise they would take it from each other forever.
     const Renewal &renewal = this->renewals.at(known.id);
-    return this->self < known.home && now - renewal.since >= this->settings.renewAfter;
+    return this->self < known.home && now - renewal.unbrokenSince >= this->settings.renewAfter;
 }
 
-std::optional<EndpointRecord> EndpointLife::reviewRenewed(const EndpointRecord &known,
-                                                          const Renewal &renewal,
-                                                          const EndpointWorld &context,
-                                                          state::Instant now)
+std::optional<EndpointRecord> EndpointLifecycle::updateForRenewal(const EndpointRecord &known,
+                                                                  const Renewal &renewal,
+                                                                  const EndpointContext &context,
+                                                                  state::Instant now)
 {
     const EndpointPhase phase = this->livePhase(known.id, now);
     if (known.home != this->self) {
-        if (!this->takesOver(known, context, now))
+        if (!this->shouldTakeOver(known, context, now))
             return std::nullopt;
     } else if (known.phase == phase && known.description
                && *known.description == renewal.description) {
@@ -200,8 +202,8 @@
 
 // The owner expires an endpoint whose home entry node is dead, but only after the endpoint had time
 // to announce itself to another entry node.
-bool EndpointLife::hasEnded(const EndpointRecord &known, const EndpointWorld &context,
-                            state::Instant now) const
+bool EndpointLifecycle::shouldExpireOrphan(const EndpointRecord &known,
+                                           const EndpointContext &context, state::Instant now) const
 {
     if (known.phase == EndpointPhase::Left || known.phase == EndpointPhase::Expired
         || !known.description)
--- a/src/coordination/endpoints/EndpointLife.h
+++ b/src/coordination/endpoints/EndpointLifecycle.h
@@ -15,7 +15,7 @@
 
 namespace lavenderthread::coordination::endpoints {
 
-struct EndpointLifeSettings
+struct EndpointLifecycleSettings
 {
     state::Duration renewAfter = std::chrono::seconds(5);
     state::Duration expiresAfter = std::chrono::seconds(15);
@@ -23,7 +23,7 @@
 };
 
 // State of this entry node that lifecycle decisions read.
-struct EndpointWorld
+struct EndpointContext
 {
     const EndpointTable &table;
     const membership::MemberTable &members;
@@ -34,39 +34,40 @@
 // entry node that receives announcements keeps its own lease and takes over the home role when the
 // home is gone. If an endpoint announces itself to two entry nodes, the one with the lower id
 // becomes its home.
-class EndpointLife
+class EndpointLifecycle
 {
 public:
     // Error: InvalidArgument, step "endpoint-life.create".
-    static state::Result<EndpointLife> create(const EndpointLifeSettings &settings,
-                                              state::VmId self, state::Instant now);
+    static state::Result<EndpointLifecycle> create(const EndpointLifecycleSettings &settings,
+                                                   state::VmId self, state::Instant now);
 
     // Handles a first announcement or a renewal. Returns the record to publish if something
     // changed. Errors, step "endpoint.announce": InvalidArgument; Conflict for an incarnation that
     // is old or has deregistered.
     state::Result<std::optional<EndpointRecord>>
-    announce(const state::EndpointDescription &description, const EndpointWorld &context,
+    announce(const state::EndpointDescription &description, const EndpointContext &context,
              state::Instant now);
     // Deregisters the endpoint; returns the record to publish unless it had left already. Errors,
     // step "endpoint.leave": NotFound; Conflict if `incarnation` is not the known one.
     state::Result<std::optional<EndpointRecord>> leave(const state::EndpointId &endpoint,
                                                        std::uint64_t incarnation,
-                                                       const EndpointWorld &context);
+                                                       const EndpointContext &context);
     // Returns the records to publish after time passed or records changed; call once per second.
-    std::vector<EndpointRecord> tick(const EndpointWorld &context, state::Instant now);
+    std::vector<EndpointRecord> tick(const EndpointContext &context, state::Instant now);
     // Whether this entry node holds a lease of that incarnation and so accepts its load reports.
     bool isAnnouncedHere(const state::EndpointId &endpoint, std::uint64_t incarnation) const;
-    const EndpointLifeSettings &current() const { return this->settings; }
+    const EndpointLifecycleSettings &currentSettings() const { return this->settings; }
 
 private:
     struct Renewal
     {
         state::EndpointDescription description;
         state::Instant expires;
-        state::Instant since; // start of the current uninterrupted series of renewals
+        state::Instant unbrokenSince; // start of the current uninterrupted series of renewals
     };
 
-    EndpointLife(const EndpointLifeSettings &chosen, state::VmId ownId, state::Instant now)
+    EndpointLifecycle(const EndpointLifecycleSettings &chosen, state::VmId ownId,
+                      state::Instant now)
         : settings(chosen)
         , self(std::move(ownId))
         , startedAt(now)
@@ -75,14 +76,16 @@
 
     void renew(const state::EndpointDescription &description, state::Instant now);
     EndpointPhase livePhase(const state::EndpointId &endpoint, state::Instant now);
-    bool takesOver(const EndpointRecord &known, const EndpointWorld &context,
-                   state::Instant now) const;
-    std::optional<EndpointRecord> reviewRenewed(const EndpointRecord &known, const Renewal &renewal,
-                                                const EndpointWorld &context, state::Instant now);
-    bool hasEnded(const EndpointRecord &known, const EndpointWorld &context,
-                  state::Instant now) const;
+    bool shouldTakeOver(const EndpointRecord &known, const EndpointContext &context,
+                        state::Instant now) const;
+    std::optional<EndpointRecord> updateForRenewal(const EndpointRecord &known,
+                                                   const Renewal &renewal,
+                                                   const EndpointContext &context,
+                                                   state::Instant now);
+    bool shouldExpireOrphan(const EndpointRecord &known, const EndpointContext &context,
+                            state::Instant now) const;
 
-    EndpointLifeSettings settings;
+    EndpointLifecycleSettings settings;
     state::VmId self;
     state::Instant startedAt;
     FlapDamping damping;
--- a/src/coordination/endpoints/EndpointRecord.cpp
+++ b/src/coordination/endpoints/EndpointRecord.cpp
@@ -52,12 +52,12 @@
            && this->descriptionVersion == other.descriptionVersion && this->drain == other.drain;
 }
 
-bool endsWork(const EndpointRecord &record)
+bool stopsNewWork(const EndpointRecord &record)
 {
     return record.phase == EndpointPhase::Left || record.drain.draining;
 }
 
-bool livesLater(const EndpointRecord &next, const EndpointRecord &known)
+bool hasNewerLifecycle(const EndpointRecord &next, const EndpointRecord &known)
 {
     return lifecycleOrder(next) > lifecycleOrder(known);
 }
@@ -68,7 +68,7 @@
     const bool sameDescription = update.descriptionVersion == known.descriptionVersion;
     const bool isApplicable = update.description != nullptr || update.phase == EndpointPhase::Left
                               || (update.incarnation == known.incarnation && sameDescription);
-    if (livesLater(update, known) && isApplicable) {
+    if (hasNewerLifecycle(update, known) && isApplicable) {
         result.descriptionChanged =
                 update.description != nullptr
                 && std::tuple(update.incarnation, update.descriptionVersion)
@@ -80,7 +80,8 @@
         result.record.drain = update.drain;
         result.changed = true;
     }
-    result.newsIsOlder = livesLater(known, update) || known.drain.position > update.drain.position;
+    result.updateIsOlder =
+            hasNewerLifecycle(known, update) || known.drain.position > update.drain.position;
     return result;
 }
 
--- a/src/coordination/endpoints/EndpointRecord.h
+++ b/src/coordination/endpoints/EndpointRecord.h
@@ -65,16 +65,16 @@
 };
 
 // Whether the endpoint gets no new work because it deregistered or an operator drained it.
-bool endsWork(const EndpointRecord &record);
+bool stopsNewWork(const EndpointRecord &record);
 
 // Whether the lifecycle part of `next` is newer than that of `known`.
-bool livesLater(const EndpointRecord &next, const EndpointRecord &known);
+bool hasNewerLifecycle(const EndpointRecord &next, const EndpointRecord &known);
 
 struct MergeResult
 {
     EndpointRecord record;
     bool changed = false;
-    bool newsIsOlder = false; // the sender should be sent `known`
+    bool updateIsOlder = false; // the sender should be sent `known`
     bool descriptionChanged = false;
 };
 
--- a/src/coordination/endpoints/FlapDamping.cpp
+++ b/src/coordination/endpoints/FlapDamping.cpp
@@ -24,12 +24,12 @@
     if (found == this->penalties.end())
         return false;
     const double restarts = this->decayed(found->second, now);
-    found->second.held =
-            restarts >= (found->second.held ? this->settings.releaseAt : this->settings.holdAt);
+    found->second.held = restarts >= (found->second.held ? this->settings.releaseThreshold
+                                                         : this->settings.holdThreshold);
     return found->second.held;
 }
 
-void FlapDamping::forgetCalm(state::Instant now)
+void FlapDamping::forgetStable(state::Instant now)
 {
     constexpr int stableHalfLives = 10;
     std::erase_if(this->penalties, [&](const auto &item) {
--- a/src/coordination/endpoints/FlapDamping.h
+++ b/src/coordination/endpoints/FlapDamping.h
@@ -12,8 +12,9 @@
 
 struct FlapDampingSettings
 {
-    double holdAt = 4;    // restarts, each weighted by its age
-    double releaseAt = 2; // below holdThreshold: hysteresis, so that the decision does not flap
+    double holdThreshold = 4; // restarts, each weighted by its age
+    double releaseThreshold =
+            2; // below holdThreshold: hysteresis, so that the decision does not flap
     state::Duration halfLife = std::chrono::seconds(60);
 };
 
@@ -30,7 +31,7 @@
     void observe(const state::EndpointId &endpoint, std::uint64_t incarnation, state::Instant now);
     bool isHeld(const state::EndpointId &endpoint, state::Instant now);
     // Drops endpoints whose last restart is many half-lives ago.
-    void forgetCalm(state::Instant now);
+    void forgetStable(state::Instant now);
 
 private:
     struct Penalty
--- a/src/coordination/endpoints/MemoryAudit.cpp
+++ b/src/coordination/endpoints/MemoryAudit.cpp
@@ -12,7 +12,7 @@
            + std::to_string(serial);
 }
 
-std::optional<LeaseHolder> makerOf(std::string_view leaseName)
+std::optional<LeaseHolder> leaseCreator(std::string_view leaseName)
 {
     const auto serialDot = leaseName.rfind('.');
     if (serialDot == std::string_view::npos || serialDot == 0)
@@ -29,12 +29,12 @@
     return creator;
 }
 
-void MemoryAudit::gained(const state::EndpointId &endpoint)
+void MemoryAudit::ownershipGained(const state::EndpointId &endpoint)
 {
     this->ownedEndpoints.try_emplace(endpoint);
 }
 
-void MemoryAudit::lost(const state::EndpointId &endpoint)
+void MemoryAudit::ownershipLost(const state::EndpointId &endpoint)
 {
     this->ownedEndpoints.erase(endpoint);
 }
@@ -45,13 +45,13 @@
     if (owned == this->ownedEndpoints.end())
         return state::makeError(state::ErrorCode::NotFound, "lease.grant",
                                 "this entry does not own the endpoint", endpoint.value());
-    const auto candidate = owned->second.doubts.find(lease.name);
+    const auto candidate = owned->second.orphanCandidates.find(lease.name);
     // An adoption that comes too late must be refused: the free order is on its way to the engine.
-    if (candidate != owned->second.doubts.end() && candidate->second.freedAt)
+    if (candidate != owned->second.orphanCandidates.end() && candidate->second.freeOrderedAt)
         return state::makeError(state::ErrorCode::Conflict, "lease.grant",
                                 "the lease is being freed", endpoint.value());
     owned->second.leases.insert_or_assign(lease.name, lease);
-    owned->second.doubts.erase(lease.name);
+    owned->second.orphanCandidates.erase(lease.name);
     return state::outcome::success();
 }
 
@@ -63,44 +63,44 @@
     const auto found = owned->second.leases.find(lease);
     if (found == owned->second.leases.end())
         return;
-    this->denied(endpoint, lease, found->second.holder);
+    this->holderDenied(endpoint, lease, found->second.holder);
     owned->second.leases.erase(found);
 }
 
-void MemoryAudit::denied(const state::EndpointId &endpoint, const std::string &lease,
-                         const LeaseHolder &holder)
+void MemoryAudit::holderDenied(const state::EndpointId &endpoint, const std::string &lease,
+                               const LeaseHolder &holder)
 {
     const auto owned = this->ownedEndpoints.find(endpoint);
     if (owned == this->ownedEndpoints.end())
         return;
-    owned->second.doubts[lease].deniedBy = holder;
+    owned->second.orphanCandidates[lease].deniedBy = holder;
 }
 
-AuditActions MemoryAudit::held(const state::EndpointId &endpoint,
-                               const std::vector<HeldItem> &items,
-                               const membership::MemberTable &members, bool isolated,
-                               state::Instant now)
+AuditActions MemoryAudit::auditHeldMemory(const state::EndpointId &endpoint,
+                                          const std::vector<HeldItem> &items,
+                                          const membership::MemberTable &members, bool isolated,
+                                          state::Instant now)
 {
     AuditActions actions;
     const auto found = this->ownedEndpoints.find(endpoint);
     if (found == this->ownedEndpoints.end())
         return actions;
-    Owned &owned = found->second;
+    OwnedEndpoint &owned = found->second;
     std::set<std::string> listed;
     for (const HeldItem &item : items) {
         listed.insert(item.lease);
-        const Standing status = this->standingOf(owned, item, members, now);
-        if (status == Standing::Covered) {
-            owned.doubts.erase(item.lease);
+        const LeaseStatus status = this->leaseStatusOf(owned, item, members, now);
+        if (status == LeaseStatus::Covered) {
+            owned.orphanCandidates.erase(item.lease);
             continue;
         }
-        Doubt &candidate = owned.doubts[item.lease];
-        if (!candidate.since || isolated)
-            candidate.since = now;
+        OrphanCandidate &candidate = owned.orphanCandidates[item.lease];
+        if (!candidate.graceStart || isolated)
+            candidate.graceStart = now;
         if (!isolated)
-            this->judge(endpoint, item, status, owned, actions, now);
+            this->freeOrQuery(endpoint, item, status, owned, actions, now);
     }
-    std::erase_if(owned.doubts,
+    std::erase_if(owned.orphanCandidates,
                   [&](const auto &candidate) { return !listed.contains(candidate.first); });
     // A lapsed lease that the engine no longer lists covers no memory.
     std::erase_if(owned.leases, [&](const auto &lease) {
@@ -126,19 +126,20 @@
     return owned == this->ownedEndpoints.end() ? 0 : owned->second.leases.size();
 }
 
-MemoryAudit::Standing MemoryAudit::standingOf(const Owned &owned, const HeldItem &item,
-                                              const membership::MemberTable &members,
-                                              state::Instant now) const
+MemoryAudit::LeaseStatus MemoryAudit::leaseStatusOf(const OwnedEndpoint &owned,
+                                                    const HeldItem &item,
+                                                    const membership::MemberTable &members,
+                                                    state::Instant now) const
 {
     const auto lease = owned.leases.find(item.lease);
     if (lease != owned.leases.end()) {
         if (!isLiveHolder(lease->second.holder, members))
-            return Standing::HolderGone;
-        return now < lease->second.expires ? Standing::Covered : Standing::Lapsed;
+            return LeaseStatus::HolderGone;
+        return now < lease->second.expires ? LeaseStatus::Covered : LeaseStatus::Lapsed;
     }
-    const std::optional<LeaseHolder> creator = makerOf(item.lease);
-    return creator && isLiveHolder(*creator, members) ? Standing::HolderLives
-                                                      : Standing::HolderGone;
+    const std::optional<LeaseHolder> creator = leaseCreator(item.lease);
+    return creator && isLiveHolder(*creator, members) ? LeaseStatus::HolderAlive
+                                                      : LeaseStatus::HolderGone;
 }
 
 bool MemoryAudit::isLiveHolder(const LeaseHolder &holder, const membership::MemberTable &members)
@@ -151,35 +152,36 @@
            || (holder.incarnation == entry->record.incarnation && entry->record.isLive());
 }
 
-void MemoryAudit::judge(const state::EndpointId &endpoint, const HeldItem &item, Standing status,
-                        Owned &owned, AuditActions &actions, state::Instant now) const
+void MemoryAudit::freeOrQuery(const state::EndpointId &endpoint, const HeldItem &item,
+                              LeaseStatus status, OwnedEndpoint &owned, AuditActions &actions,
+                              state::Instant now) const
 {
-    Doubt &candidate = owned.doubts.at(item.lease);
+    OrphanCandidate &candidate = owned.orphanCandidates.at(item.lease);
     const auto isDue = [&](const std::optional<state::Instant> &last, state::Duration interval) {
         return !last || now - *last >= interval;
     };
-    const state::Duration age = now - *candidate.since;
+    const state::Duration age = now - *candidate.graceStart;
     const bool graceElapsed = age >= this->settings.orphanGrace;
     const auto lease = owned.leases.find(item.lease);
     const std::optional<LeaseHolder> holder =
-            lease != owned.leases.end() ? lease->second.holder : makerOf(item.lease);
+            lease != owned.leases.end() ? lease->second.holder : leaseCreator(item.lease);
     const bool isDenied = candidate.deniedBy && candidate.deniedBy == holder;
     // The live holder named by the item is assumed to use it until it denies that: its renewals may
     // go to another entry node that it takes for the owner. A missing answer frees nothing.
-    const bool mayFree = graceElapsed && (status != Standing::HolderLives || isDenied);
+    const bool mayFree = graceElapsed && (status != LeaseStatus::HolderAlive || isDenied);
     if (mayFree) {
-        if (isDue(candidate.freedAt, this->settings.freeAgainAfter)) {
-            candidate.freedAt = now;
+        if (isDue(candidate.freeOrderedAt, this->settings.freeRetryInterval)) {
+            candidate.freeOrderedAt = now;
             actions.frees.push_back({endpoint, item});
             owned.leases.erase(item.lease);
         }
         return;
     }
-    if (!isDenied && age >= this->settings.askAfter
-        && isDue(candidate.askedAt, this->settings.askAgainAfter)) {
-        candidate.askedAt = now;
-        const bool queryHolderOnly = status != Standing::HolderGone && holder;
-        actions.questions.push_back(
+    if (!isDenied && age >= this->settings.queryAfter
+        && isDue(candidate.queriedAt, this->settings.queryRetryInterval)) {
+        candidate.queriedAt = now;
+        const bool queryHolderOnly = status != LeaseStatus::HolderGone && holder;
+        actions.queries.push_back(
                 {endpoint, item.lease, queryHolderOnly ? std::optional(holder->vm) : std::nullopt});
     }
 }
--- a/src/coordination/endpoints/MemoryAudit.h
+++ b/src/coordination/endpoints/MemoryAudit.h
@@ -49,7 +49,7 @@
 // allows.
 std::string makeLeaseName(const LeaseHolder &creator, std::uint64_t serial);
 // Parses the creator out of a lease name; empty if the name has another format.
-std::optional<LeaseHolder> makerOf(std::string_view leaseName);
+std::optional<LeaseHolder> leaseCreator(std::string_view leaseName);
 
 struct MemoryAuditSettings
 {
@@ -59,9 +59,9 @@
     state::Duration orphanGrace = std::chrono::seconds(12);
     // Delay before the first query, so that short streams end without one. The rest of orphanGrace
     // is left for the answer.
-    state::Duration askAfter = std::chrono::seconds(4);
-    state::Duration askAgainAfter = std::chrono::seconds(5);
-    state::Duration freeAgainAfter = std::chrono::seconds(2);
+    state::Duration queryAfter = std::chrono::seconds(4);
+    state::Duration queryRetryInterval = std::chrono::seconds(5);
+    state::Duration freeRetryInterval = std::chrono::seconds(2);
 };
 
 struct AuditFree
@@ -73,19 +73,19 @@
 };
 
 // Query whether an entry node holds this lease. The answer is passed to grant() or holderDenied().
-struct AuditQuestion
+struct AuditQuery
 {
     state::EndpointId endpoint;
     std::string lease;
     std::optional<state::VmId> holder; // empty: query all live entry nodes; any may have adopted it
 
-    bool operator==(const AuditQuestion &) const = default;
+    bool operator==(const AuditQuery &) const = default;
 };
 
 struct AuditActions
 {
     std::vector<AuditFree> frees;
-    std::vector<AuditQuestion> questions;
+    std::vector<AuditQuery> queries;
 };
 
 // Tracks the leases and the unleased memory of each owned endpoint, and decides what to query and
@@ -98,8 +98,8 @@
     {}
 
     // Ownership was gained or lost. A new owner starts without leases; grace periods start anew.
-    void gained(const state::EndpointId &endpoint);
-    void lost(const state::EndpointId &endpoint);
+    void ownershipGained(const state::EndpointId &endpoint);
+    void ownershipLost(const state::EndpointId &endpoint);
 
     // Records a new lease, a renewal, or an adoption by another holder. Errors, step "lease.grant":
     // NotFound if the endpoint is not owned here; Conflict if the lease is being freed.
@@ -107,47 +107,50 @@
     // The holder no longer uses the lease; the engine should soon free the memory by itself.
     void release(const state::EndpointId &endpoint, const std::string &lease);
     // `holder` answered that it does not hold the lease.
-    void denied(const state::EndpointId &endpoint, const std::string &lease,
-                const LeaseHolder &holder);
+    void holderDenied(const state::EndpointId &endpoint, const std::string &lease,
+                      const LeaseHolder &holder);
 
     // Audits the engine's list of held memory and returns what to free and query. `isolated`: this
     // entry node currently hears no other one, so it cannot hear from holders and frees nothing.
-    AuditActions held(const state::EndpointId &endpoint, const std::vector<HeldItem> &items,
-                      const membership::MemberTable &members, bool isolated, state::Instant now);
+    AuditActions auditHeldMemory(const state::EndpointId &endpoint,
+                                 const std::vector<HeldItem> &items,
+                                 const membership::MemberTable &members, bool isolated,
+                                 state::Instant now);
 
     std::uint64_t leasedTokens(const state::EndpointId &endpoint, state::Instant now) const;
     std::size_t leaseCount(const state::EndpointId &endpoint) const;
 
 private:
-    struct Doubt
+    struct OrphanCandidate
     {
         // First listed without a live lease, or last seen while isolated; empty: not listed yet.
-        std::optional<state::Instant> since;
-        std::optional<state::Instant> askedAt; // last query; empty: none
-        std::optional<state::Instant> freedAt; // last free order to the engine
+        std::optional<state::Instant> graceStart;
+        std::optional<state::Instant> queriedAt;     // last query; empty: none
+        std::optional<state::Instant> freeOrderedAt; // last free order to the engine
         std::optional<LeaseHolder> deniedBy;
     };
-    struct Owned
+    struct OwnedEndpoint
     {
         std::map<std::string, MemoryLease> leases;
-        std::map<std::string, Doubt> doubts; // by lease name; held items without a live lease
+        std::map<std::string, OrphanCandidate>
+                orphanCandidates; // by lease name; held items without a live lease
     };
     // Whether a live lease covers an item and, if not, why; this decides when it may be freed.
-    enum class Standing : std::uint8_t {
+    enum class LeaseStatus : std::uint8_t {
         Covered,     // leased by a live holder
         HolderGone,  // dead, left or restarted; usable only after adoption
-        HolderLives, // no lease yet, but the holder that its name contains is alive
+        HolderAlive, // no lease yet, but the holder that its name contains is alive
         Lapsed,      // lease not renewed in time; its live holder had to stop using it
     };
 
-    Standing standingOf(const Owned &owned, const HeldItem &item,
-                        const membership::MemberTable &members, state::Instant now) const;
+    LeaseStatus leaseStatusOf(const OwnedEndpoint &owned, const HeldItem &item,
+                              const membership::MemberTable &members, state::Instant now) const;
     static bool isLiveHolder(const LeaseHolder &holder, const membership::MemberTable &members);
-    void judge(const state::EndpointId &endpoint, const HeldItem &item, Standing status,
-               Owned &owned, AuditActions &actions, state::Instant now) const;
+    void freeOrQuery(const state::EndpointId &endpoint, const HeldItem &item, LeaseStatus status,
+                     OwnedEndpoint &owned, AuditActions &actions, state::Instant now) const;
 
     MemoryAuditSettings settings;
-    std::map<state::EndpointId, Owned> ownedEndpoints;
+    std::map<state::EndpointId, OwnedEndpoint> ownedEndpoints;
 };
 
 } // namespace lavenderthread::coordination::endpoints
--- a/src/coordination/membership/AntiEntropy.cpp
+++ b/src/coordination/membership/AntiEntropy.cpp
@@ -11,7 +11,7 @@
 
 bool isExchanged(const MemberEntry &entry, state::Instant now)
 {
-    return entry.record.isLive() || now - entry.changedAt <= endedExchangedFor;
+    return entry.record.isLive() || now - entry.changedAt <= endedRecordExchangeTime;
 }
 
 bool isExchanged(const endpoints::EndpointEntry &entry, state::Instant now)
@@ -19,7 +19,8 @@
     const endpoints::EndpointPhase phase = entry.record.phase;
     const bool ended =
             phase == endpoints::EndpointPhase::Left || phase == endpoints::EndpointPhase::Expired;
-    return !ended || entry.record.drain.draining || now - entry.changedAt <= endedExchangedFor;
+    return !ended || entry.record.drain.draining
+           || now - entry.changedAt <= endedRecordExchangeTime;
 }
 
 template <typename Visit>
@@ -104,7 +105,8 @@
     }
 }
 
-SummaryPlan planFor(const ExchangedState &held, const GossipMessage &summary, state::Instant now)
+SummaryPlan planExchange(const ExchangedState &held, const GossipMessage &summary,
+                         state::Instant now)
 {
     SummaryPlan plan;
     std::unordered_map<std::uint64_t, std::uint64_t> remoteFingerprints;
@@ -129,9 +131,9 @@
     return plan;
 }
 
-std::vector<GossipMessage> collect(const ExchangedState &held,
-                                   const std::vector<std::uint64_t> &keys, std::size_t bytes,
-                                   std::size_t maximumMessages)
+std::vector<GossipMessage> collectRecords(const ExchangedState &held,
+                                          const std::vector<std::uint64_t> &keys, std::size_t bytes,
+                                          std::size_t maximumMessages)
 {
     const std::unordered_set<std::uint64_t> wanted(keys.begin(), keys.end());
     std::vector<GossipMessage> messages;
--- a/src/coordination/membership/AntiEntropy.h
+++ b/src/coordination/membership/AntiEntropy.h
@@ -15,7 +15,7 @@
 // this long, much less than any member keeps them. Otherwise a member that forgot such a record
 // would receive it again, and it would circulate forever. Endpoints with a drain in force are
 // excepted.
-constexpr state::Duration endedExchangedFor = std::chrono::seconds(60);
+constexpr state::Duration endedRecordExchangeTime = std::chrono::seconds(60);
 
 // The two tables of one member that the exchange covers.
 struct ExchangedState
@@ -40,12 +40,13 @@
     std::vector<std::uint64_t> pull;
     std::vector<std::uint64_t> push;
 };
-SummaryPlan planFor(const ExchangedState &held, const GossipMessage &summary, state::Instant now);
+SummaryPlan planExchange(const ExchangedState &held, const GossipMessage &summary,
+                         state::Instant now);
 
 // Returns the full records of `keys` in at most `maximumMessages` messages, each with at most
 // `bytes` of records. A record larger than `bytes` is left out.
-std::vector<GossipMessage> collect(const ExchangedState &held,
-                                   const std::vector<std::uint64_t> &keys, std::size_t bytes,
-                                   std::size_t maximumMessages);
+std::vector<GossipMessage> collectRecords(const ExchangedState &held,
+                                          const std::vector<std::uint64_t> &keys, std::size_t bytes,
+                                          std::size_t maximumMessages);
 
 } // namespace lavenderthread::coordination::membership
--- a/src/coordination/membership/ConfirmedSpread.h
+++ b/src/coordination/membership/DeregistrationTracker.h
@@ -17,7 +17,7 @@
 // Identifies the deregistration of one incarnation of an endpoint in a confirmation.
 std::uint64_t deregistrationKey(const state::EndpointId &endpoint, std::uint64_t incarnation);
 
-struct ConfirmedSpreadSettings
+struct DeregistrationTrackerSettings
 {
     // Longer than gossip and the confirmations of the members that it reaches take.
     state::Duration firstResend = std::chrono::milliseconds(200);
@@ -29,46 +29,46 @@
 
 // Decides which members are sent a deregistration again and when it is finished. A deregistration
 // is dropped when all live members have confirmed it or after giveUpAfter.
-class ConfirmedSpread
+class DeregistrationTracker
 {
 public:
     // A member and the endpoints whose deregistration it has not confirmed.
-    struct Missing
+    struct MissingConfirmations
     {
         const MemberEntry *member = nullptr;
         std::vector<state::EndpointId> endpoints;
     };
 
-    ConfirmedSpread() = default;
-    explicit ConfirmedSpread(const ConfirmedSpreadSettings &chosen)
+    DeregistrationTracker() = default;
+    explicit DeregistrationTracker(const DeregistrationTrackerSettings &chosen)
         : settings(chosen)
     {}
 
-    void begin(const endpoints::EndpointRecord &left, state::Instant now);
-    void confirmed(std::uint64_t member, std::uint64_t deregistration);
+    void track(const endpoints::EndpointRecord &left, state::Instant now);
+    void recordConfirmation(std::uint64_t member, std::uint64_t deregistration);
     // Drops the deregistrations that all live members other than `self` have confirmed, and those
     // older than giveUpAfter.
-    void settle(const MemberTable &members, const state::VmId &self, state::Instant now);
-    bool isOnItsWay(const state::EndpointId &endpoint) const
+    void removeFinished(const MemberTable &members, const state::VmId &self, state::Instant now);
+    bool isPending(const state::EndpointId &endpoint) const
     {
-        return this->deliveries.contains(endpoint);
+        return this->pendingDeregistrations.contains(endpoint);
     }
     // Returns the resends that are due, at most membersPerResend, and schedules the next ones.
-    std::vector<Missing> due(const MemberTable &members, const state::VmId &self,
-                             state::Instant now);
+    std::vector<MissingConfirmations> takeDueResends(const MemberTable &members,
+                                                     const state::VmId &self, state::Instant now);
 
 private:
-    struct Delivery
+    struct PendingDeregistration
     {
-        std::uint64_t deregistration = 0;
-        state::Instant begunAt;
+        std::uint64_t key = 0;
+        state::Instant startedAt;
         state::Instant nextSend;
         std::unordered_set<std::uint64_t> confirmedBy; // memberKey of each
     };
 
-    ConfirmedSpreadSettings settings;
-    std::map<state::EndpointId, Delivery> deliveries;
-    std::size_t turn = 0; // offset of the last resend that could not cover all members
+    DeregistrationTrackerSettings settings;
+    std::map<state::EndpointId, PendingDeregistration> pendingDeregistrations;
+    std::size_t resendOffset = 0; // offset of the last resend that could not cover all members
 };
 
 } // namespace lavenderthread::coordination::membership
