--- a/src/coordination/membership/Deregistrations.cpp
+++ b/src/coordination/membership/Deregistrations.cpp
@@ -23,9 +23,9 @@
 
 } // namespace
 
-void Membership::noteDeregistration(const GossipMessage &message,
-                                    const endpoints::EndpointRecord &news,
-                                    const endpoints::MergeResult &merged)
+void Membership::queueConfirmation(const GossipMessage &message,
+                                   const endpoints::EndpointRecord &news,
+                                   const endpoints::MergeResult &merged)
 {
     if (news.phase != endpoints::EndpointPhase::Left || !isKnownToHaveLeft(news, merged.record))
         return;
@@ -34,16 +34,16 @@
     const state::VmId &waitingMember = isRequested ? message.sender : news.home;
     if ((!isRequested && !isFirstNews) || waitingMember == this->settings.self)
         return;
-    std::vector<std::uint64_t> &pending = this->owedConfirmations[waitingMember];
+    std::vector<std::uint64_t> &pending = this->pendingConfirmations[waitingMember];
     const std::uint64_t key = deregistrationKey(news.id, news.incarnation);
     if (pending.size() < maximumPendingPerMember
         && std::ranges::find(pending, key) == pending.end())
         pending.push_back(key);
 }
 
-void Membership::confirmDeregistrations(GossipActions &actions)
+void Membership::sendConfirmations(GossipActions &actions)
 {
-    for (auto &[waitingMember, keys] : std::exchange(this->owedConfirmations, {})) {
+    for (auto &[waitingMember, keys] : std::exchange(this->pendingConfirmations, {})) {
         const MemberEntry *member = this->memberTable.find(waitingMember);
         if (member == nullptr || member->record.description == nullptr)
             continue;
@@ -54,18 +54,18 @@
                     next + static_cast<std::ptrdiff_t>(std::min(left, keysPerConfirmation));
             message.keys.assign(next, end);
             next = end;
-            this->sendBare(actions, member->record.description->gossip, message);
+            this->sendPlain(actions, member->record.description->gossip, message);
         }
     }
 }
 
 void Membership::resendDeregistrations(GossipActions &actions, state::Instant now)
 {
-    this->confirmedSpread.settle(this->memberTable, this->settings.self, now);
-    for (const ConfirmedSpread::Missing &missing :
-         this->confirmedSpread.due(this->memberTable, this->settings.self, now)) {
+    this->deregistrationTracker.removeFinished(this->memberTable, this->settings.self, now);
+    for (const DeregistrationTracker::MissingConfirmations &missing :
+         this->deregistrationTracker.takeDueResends(this->memberTable, this->settings.self, now)) {
         GossipMessage message = this->makeMessage(GossipKind::Deregistrations);
-        std::size_t room = this->room(message);
+        std::size_t room = this->remainingBytes(message);
         for (const state::EndpointId &id : missing.endpoints) {
             const auto *entry = this->endpointRecords.find(id);
             if (entry == nullptr)
@@ -77,11 +77,11 @@
             room -= bytes;
             message.endpointRecords.push_back(record);
         }
-        this->sendBare(actions, missing.member->record.description->gossip, std::move(message));
+        this->sendPlain(actions, missing.member->record.description->gossip, std::move(message));
     }
 }
 
-void Membership::deregisteredAgain(const state::EndpointId &endpoint, state::Instant now)
+void Membership::handleRepeatedDeregistration(const state::EndpointId &endpoint, state::Instant now)
 {
     const auto *known = this->endpointRecords.find(endpoint);
     if (known == nullptr || known->record.phase != endpoints::EndpointPhase::Left
@@ -89,7 +89,7 @@
         return;
     const MemberEntry *home = this->memberTable.find(known->record.home);
     if (home == nullptr || !home->record.isLive())
-        this->confirmedSpread.begin(known->record, now);
+        this->deregistrationTracker.track(known->record, now);
 }
 
 } // namespace lavenderthread::coordination::membership
--- a/src/coordination/membership/FailureDetector.cpp
+++ b/src/coordination/membership/FailureDetector.cpp
@@ -11,10 +11,10 @@
 {
     ProbeActions actions;
     const bool isolated = this->isIsolated(members, now);
-    if (this->probe && !this->probe->throughOthers
+    if (this->probe && !this->probe->indirect
         && now - this->probe->sentAt >= this->settings.probeTimeout) {
-        this->probe->throughOthers = true;
-        actions.pingThroughOthers = this->probe->target;
+        this->probe->indirect = true;
+        actions.pingIndirectly = this->probe->target;
         actions.sequence = this->probe->sequence;
     }
     if (now >= this->nextProbe) {
@@ -25,7 +25,7 @@
         if (auto target = this->nextTarget(members, random)) {
             this->probe = Probe{*target, ++this->lastSequence, now, false};
             actions.ping = target;
-            actions.pingThroughOthers.reset();
+            actions.pingIndirectly.reset();
             actions.sequence = this->lastSequence;
         }
     }
@@ -43,27 +43,28 @@
     for (auto &[id, suspicion] : this->suspicions) {
         if (isolated)
             suspicion.ends =
-                    std::max(suspicion.ends, now + this->suspicionTime(members.liveCount()));
+                    std::max(suspicion.ends, now + this->suspicionTimeout(members.liveCount()));
         const state::Duration left = suspicion.ends - now;
         if (left <= state::Duration::zero())
             actions.dead.push_back(id);
-        else if (suspicion.checks < maximumRechecks
-                 && left <= this->settings.probeInterval * (maximumRechecks - suspicion.checks)) {
-            ++suspicion.checks;
-            actions.check.push_back(id);
+        else if (suspicion.rechecks < maximumRechecks
+                 && left <= this->settings.probeInterval * (maximumRechecks - suspicion.rechecks)) {
+            ++suspicion.rechecks;
+            actions.recheck.push_back(id);
         }
     }
     for (const state::VmId &id : actions.dead)
         this->suspicions.erase(id);
 }
 
-void FailureDetector::acknowledged(std::uint32_t sequence)
+void FailureDetector::recordAck(std::uint32_t sequence)
 {
     if (this->probe && this->probe->sequence == sequence)
         this->probe.reset();
 }
 
-void FailureDetector::observe(const MemberRecord &record, std::size_t members, state::Instant now)
+void FailureDetector::updateSuspicion(const MemberRecord &record, std::size_t members,
+                                      state::Instant now)
 {
     if (record.health != MemberHealth::Suspect || !record.isLive()) {
         this->suspicions.erase(record.id);
@@ -74,12 +75,13 @@
     // soon.
     const auto known = this->suspicions.find(record.id);
     if (known == this->suspicions.end() || known->second.version != record.version)
-        this->suspicions[record.id] = Suspicion{record.version, now + this->suspicionTime(members)};
+        this->suspicions[record.id] =
+                Suspicion{record.version, now + this->suspicionTimeout(members)};
 }
 
 bool FailureDetector::isIsolated(const MemberTable &members, state::Instant now) const
 {
-    return members.liveCount() > 1 && now - this->heardAt > this->settings.isolationAfter;
+    return members.liveCount() > 1 && now - this->lastContactAt > this->settings.isolationTimeout;
 }
 
 std::optional<state::VmId> FailureDetector::nextTarget(const MemberTable &members,
@@ -104,7 +106,7 @@
     return std::nullopt;
 }
 
-state::Duration FailureDetector::suspicionTime(std::size_t members) const
+state::Duration FailureDetector::suspicionTimeout(std::size_t members) const
 {
     const double digits = std::max(1.0, std::log10(static_cast<double>(members + 1)));
     const double factor = this->settings.suspicionFactor * digits;
--- a/src/coordination/membership/FailureDetector.h
+++ b/src/coordination/membership/FailureDetector.h
@@ -20,18 +20,18 @@
     // number of members.
     unsigned suspicionFactor = 4;
     // After this long without an accepted datagram, this member assumes that the fault is its own.
-    state::Duration isolationAfter = std::chrono::seconds(4);
+    state::Duration isolationTimeout = std::chrono::seconds(4);
 };
 
 // What the caller of tick() has to do.
 struct ProbeActions
 {
-    std::optional<state::VmId> ping;              // gets a direct probe with `sequence`
-    std::optional<state::VmId> pingThroughOthers; // gets indirect probes with `sequence`
+    std::optional<state::VmId> ping;           // gets a direct probe with `sequence`
+    std::optional<state::VmId> pingIndirectly; // gets indirect probes with `sequence`
     std::uint32_t sequence = 0;
     std::optional<state::VmId> suspect;
-    std::vector<state::VmId> check; // suspects to probe directly before they are declared dead
-    std::vector<state::VmId> dead;  // whose suspicion ended without a refutation
+    std::vector<state::VmId> recheck; // suspects to probe directly before they are declared dead
+    std::vector<state::VmId> dead;    // whose suspicion ended without a refutation
 };
 
 // Probes every member once a round, in random order, and times the suspicions. It sends nothing
@@ -43,16 +43,16 @@
         : settings(chosen)
         , self(std::move(ownId))
         , nextProbe(start)
-        , heardAt(start)
+        , lastContactAt(start)
     {}
 
     ProbeActions tick(const MemberTable &members, std::mt19937_64 &random, state::Instant now);
-    void acknowledged(std::uint32_t sequence);
+    void recordAck(std::uint32_t sequence);
     // Call for every accepted datagram.
-    void heard(state::Instant now) { this->heardAt = now; }
+    void recordContact(state::Instant now) { this->lastContactAt = now; }
     // Starts, restarts or ends the suspicion timer after a change of the member's record. `members`
     // is the number of live members.
-    void observe(const MemberRecord &record, std::size_t members, state::Instant now);
+    void updateSuspicion(const MemberRecord &record, std::size_t members, state::Instant now);
     // True while no datagram arrives although other members are live. An isolated member suspects
     // nobody: otherwise it would declare all others dead one by one, and each of them would have to
     // refute that after its return.
@@ -64,13 +64,13 @@
         state::VmId target;
         std::uint32_t sequence = 0;
         state::Instant sentAt;
-        bool throughOthers = false;
+        bool indirect = false;
     };
 
     std::optional<state::VmId> nextTarget(const MemberTable &members, std::mt19937_64 &random);
     void reviewSuspicions(const MemberTable &members, bool isolated, state::Instant now,
                           ProbeActions &actions);
-    state::Duration suspicionTime(std::size_t members) const;
+    state::Duration suspicionTimeout(std::size_t members) const;
 
     FailureDetectorSettings settings;
     state::VmId self;
@@ -79,12 +79,12 @@
     std::optional<Probe> probe; // not yet acknowledged
     std::uint32_t lastSequence = 0;
     state::Instant nextProbe;
-    state::Instant heardAt;
+    state::Instant lastContactAt;
     struct Suspicion
     {
         std::uint32_t version = 0; // of the suspected record
         state::Instant ends;
-        unsigned checks = 0; // direct probes sent because the suspicion is about to end
+        unsigned rechecks = 0; // direct probes sent because the suspicion is about to end
     };
     std::map<state::VmId, Suspicion> suspicions;
 };
--- a/src/coordination/membership/Membership.cpp
+++ b/src/coordination/membership/Membership.cpp
@@ -78,13 +78,13 @@
         return actions;
     this->probe(actions, now);
     this->gossip(actions, now);
-    this->confirmDeregistrations(actions);
+    this->sendConfirmations(actions);
     this->resendDeregistrations(actions, now);
     this->exchange(actions, now);
-    this->seekSeeds(actions, now);
+    this->contactSeeds(actions, now);
     this->reconnect(actions, now);
     this->forget(actions, now);
-    std::erase_if(this->relays, [&](const auto &item) { return now >= item.second.until; });
+    std::erase_if(this->relayedPings, [&](const auto &item) { return now >= item.second.until; });
     return actions;
 }
 
@@ -93,9 +93,9 @@
     const ProbeActions probeActions =
             this->failureDetector.tick(this->memberTable, this->random, now);
     if (probeActions.suspect)
-        this->declare(*probeActions.suspect, MemberHealth::Suspect, actions, now);
+        this->declareHealth(*probeActions.suspect, MemberHealth::Suspect, actions, now);
     for (const state::VmId &id : probeActions.dead)
-        this->declare(id, MemberHealth::Dead, actions, now);
+        this->declareHealth(id, MemberHealth::Dead, actions, now);
     if (probeActions.ping) {
         const MemberRecord &target = this->memberTable.find(*probeActions.ping)->record;
         GossipMessage message = this->makeMessage(GossipKind::Ping, probeActions.sequence);
@@ -103,24 +103,23 @@
         // The probe tells a suspect that it is suspected, in time for it to refute that.
         if (target.health != MemberHealth::Alive)
             message.members.push_back(target);
-        this->send(actions, target.description->gossip, std::move(message), now);
+        this->sendWithPiggyback(actions, target.description->gossip, std::move(message), now);
     }
-    for (const state::VmId &id : probeActions.check)
-        this->pingAccused(this->memberTable.find(id)->record, MemberRecord{}, actions);
-    if (!probeActions.pingThroughOthers)
+    for (const state::VmId &id : probeActions.recheck)
+        this->pingForRefutation(this->memberTable.find(id)->record, MemberRecord{}, actions);
+    if (!probeActions.pingIndirectly)
         return;
     // With 20% datagram loss, all of these fail for a live member in one probe of sixty.
     constexpr std::size_t indirectProbes = 4;
-    const MemberEntry *target = this->memberTable.find(*probeActions.pingThroughOthers);
+    const MemberEntry *target = this->memberTable.find(*probeActions.pingIndirectly);
     GossipMessage again = this->makeMessage(GossipKind::Ping, probeActions.sequence);
     again.target = target->record.id;
-    this->sendBare(actions, target->record.description->gossip, std::move(again));
-    for (const MemberEntry *helper :
-         this->memberTable.randomLive(indirectProbes, this->settings.self,
-                                      *probeActions.pingThroughOthers, this->random)) {
+    this->sendPlain(actions, target->record.description->gossip, std::move(again));
+    for (const MemberEntry *helper : this->memberTable.randomLive(
+                 indirectProbes, this->settings.self, *probeActions.pingIndirectly, this->random)) {
         GossipMessage message = this->makeMessage(GossipKind::PingRequest, probeActions.sequence);
-        message.target = *probeActions.pingThroughOthers;
-        this->sendBare(actions, helper->record.description->gossip, std::move(message));
+        message.target = *probeActions.pingIndirectly;
+        this->sendPlain(actions, helper->record.description->gossip, std::move(message));
     }
 }
 
@@ -138,8 +137,8 @@
                         : this->settings.burstBytes * budgetShareReservedFromRounds;
         if (this->news.empty() || this->budget.left(now) <= minimumBudget)
             return;
-        this->send(actions, peer->record.description->gossip, this->makeMessage(GossipKind::News),
-                   now);
+        this->sendWithPiggyback(actions, peer->record.description->gossip,
+                                this->makeMessage(GossipKind::News), now);
     }
 }
 
@@ -152,18 +151,18 @@
 // New descriptions: while half of a service was replaced, gossip rounds took 19 s to tell the last
 // of 126 members about the new endpoints, and half of the service was unusable there until then.
 // They stay within the budget.
-void Membership::passOn(const std::vector<endpoints::EndpointRecord> &records,
-                        GossipActions &actions, state::Instant now)
+void Membership::pushEagerly(const std::vector<endpoints::EndpointRecord> &records,
+                             GossipActions &actions, state::Instant now)
 {
     if (this->superseded)
         return;
     GossipMessage message = this->makeMessage(GossipKind::News);
-    std::size_t room = this->room(message);
+    std::size_t room = this->remainingBytes(message);
     for (const endpoints::EndpointRecord &record : records) {
         const std::size_t bytes = endpoints::wireBytes(record);
         if (bytes > room)
             break; // gossip rounds spread the rest
-        if (!endsWork(record) && this->budget.left(now) <= 0)
+        if (!stopsNewWork(record) && this->budget.left(now) <= 0)
             continue;
         room -= bytes;
         message.endpointRecords.push_back(record);
@@ -171,9 +170,9 @@
     if (message.endpointRecords.empty())
         return;
     for (const MemberEntry *peer :
-         this->memberTable.randomLive(this->settings.passOnFanout, this->settings.self,
+         this->memberTable.randomLive(this->settings.eagerPushFanout, this->settings.self,
                                       this->settings.self, this->random))
-        this->sendBare(actions, peer->record.description->gossip, message);
+        this->sendPlain(actions, peer->record.description->gossip, message);
 }
 
 void Membership::exchange(GossipActions &actions, state::Instant now)
@@ -189,13 +188,13 @@
         this->synced = true; // this is the first member of its cluster
         return;
     }
-    if (!this->mayExchange(now))
+    if (!this->hasExchangeBudget(now))
         return;
     GossipMessage message = this->makeMessage(GossipKind::Digest);
     message.digest = makeDigest({this->memberTable, this->endpointRecords}, now);
     if (!this->synced)
-        this->addSelf(message);
-    this->sendBare(actions, *peer, std::move(message));
+        this->addSelfRecord(message);
+    this->sendPlain(actions, *peer, std::move(message));
 }
 
 std::optional<state::Address> Membership::exchangePeer()
@@ -204,13 +203,13 @@
             this->memberTable.randomLive(1, this->settings.self, this->settings.self, this->random);
     if (!peers.empty())
         return peers.front()->record.description->gossip;
-    const std::vector<state::Address> seeds = this->unmetSeeds();
+    const std::vector<state::Address> seeds = this->seedsWithoutLiveMember();
     if (seeds.empty())
         return std::nullopt;
     return seeds[this->random() % seeds.size()];
 }
 
-std::vector<state::Address> Membership::unmetSeeds() const
+std::vector<state::Address> Membership::seedsWithoutLiveMember() const
 {
     std::vector<state::Address> seeds = this->settings.seeds;
     std::erase(seeds, this->settings.description.gossip);
@@ -225,18 +224,18 @@
 // entries of one never learn of the endpoints of the other. Either a group knows no live member at
 // some seed address, and contacting that seed joins the groups, or it knows one at each and the
 // groups have met already.
-void Membership::seekSeeds(GossipActions &actions, state::Instant now)
+void Membership::contactSeeds(GossipActions &actions, state::Instant now)
 {
-    if (now < this->nextSeek)
+    if (now < this->nextSeedContact)
         return;
-    this->nextSeek = now + this->settings.seekInterval;
-    const std::vector<state::Address> seeds = this->unmetSeeds();
+    this->nextSeedContact = now + this->settings.seedContactInterval;
+    const std::vector<state::Address> seeds = this->seedsWithoutLiveMember();
     if (seeds.empty() || this->memberTable.liveCount() < 2)
         return; // a member that knows no other contacts the seeds by its exchange
     GossipMessage message = this->makeMessage(GossipKind::Digest);
     message.digest = makeDigest({this->memberTable, this->endpointRecords}, now);
-    this->addSelf(message);
-    this->sendBare(actions, seeds[this->random() % seeds.size()], std::move(message));
+    this->addSelfRecord(message);
+    this->sendPlain(actions, seeds[this->random() % seeds.size()], std::move(message));
 }
 
 void Membership::reconnect(GossipActions &actions, state::Instant now)
@@ -251,11 +250,12 @@
     }
     if (dead.empty())
         return;
-    this->pingAccused(dead[this->random() % dead.size()]->record, this->selfRecord(), actions);
+    this->pingForRefutation(dead[this->random() % dead.size()]->record, this->selfRecord(),
+                            actions);
 }
 
-void Membership::pingAccused(const MemberRecord &target, const MemberRecord &introduction,
-                             GossipActions &actions)
+void Membership::pingForRefutation(const MemberRecord &target, const MemberRecord &introduction,
+                                   GossipActions &actions)
 {
     GossipMessage message = this->makeMessage(GossipKind::Ping);
     message.target = target.id;
@@ -263,7 +263,7 @@
     message.members.back().description = nullptr;
     if (!introduction.id.empty())
         message.members.push_back(introduction);
-    this->sendBare(actions, target.description->gossip, std::move(message));
+    this->sendPlain(actions, target.description->gossip, std::move(message));
 }
 
 void Membership::forget(GossipActions &actions, state::Instant now)
@@ -271,9 +271,9 @@
     if (now < this->nextForget)
         return;
     this->nextForget = now + forgetInterval;
-    actions.membersChanged |=
-            this->memberTable.forget(now, this->settings.leftKept, this->settings.deadKept);
-    actions.endpointsChanged |= this->endpointRecords.forget(now, this->settings.leftKept);
+    actions.membersChanged |= this->memberTable.forget(now, this->settings.leftRetention,
+                                                       this->settings.deadRetention);
+    actions.endpointsChanged |= this->endpointRecords.forget(now, this->settings.leftRetention);
 }
 
 GossipActions Membership::setSelf(const SelfState &next, state::Instant now)
@@ -284,7 +284,7 @@
         own.phase = next.phase;
         own.ready = next.ready;
         ++own.version;
-        this->changeSelf(own, actions, now);
+        this->updateSelfRecord(own, actions, now);
     }
     if (next.tableVersion != this->ownStatus.tableVersion || next.load != this->ownStatus.load) {
         this->ownStatus.tableVersion = next.tableVersion;
@@ -303,13 +303,13 @@
         return actions;
     actions.endpointsChanged = true;
     if (merged.record.phase == endpoints::EndpointPhase::Left)
-        this->confirmedSpread.begin(merged.record, now);
+        this->deregistrationTracker.track(merged.record, now);
     const bool full = merged.descriptionChanged;
     const NewsForm form = full ? NewsForm::Full : NewsForm::Short;
     this->news.add({NewsSubject::Endpoint, record.id.value()}, form,
                    full ? NewsUrgency::Ordinary : NewsUrgency::Critical);
-    if (full || endsWork(merged.record))
-        this->passOn({inForm(merged.record, form)}, actions, now);
+    if (full || stopsNewWork(merged.record))
+        this->pushEagerly({inForm(merged.record, form)}, actions, now);
     return actions;
 }
 
@@ -319,7 +319,7 @@
     GossipActions actions;
     GossipMessage message = this->makeMessage(GossipKind::Load);
     for (const state::LoadReport &load : loads) {
-        if (loadWireBytes + load.endpoint.value().size() <= this->room(message))
+        if (loadWireBytes + load.endpoint.value().size() <= this->remainingBytes(message))
             message.loads.push_back(load);
     }
     for (const state::VmId &id : watchers) {
@@ -328,7 +328,7 @@
             || this->budget.left(now) <= this->settings.burstBytes * budgetShareReservedFromLoads)
             break;
         if (watcher != nullptr && watcher->record.isLive() && id != this->settings.self)
-            this->sendBare(actions, watcher->record.description->gossip, message);
+            this->sendPlain(actions, watcher->record.description->gossip, message);
     }
     return actions;
 }
@@ -343,7 +343,8 @@
     return this->failureDetector.isIsolated(this->memberTable, now);
 }
 
-void Membership::changeSelf(const MemberRecord &next, GossipActions &actions, state::Instant now)
+void Membership::updateSelfRecord(const MemberRecord &next, GossipActions &actions,
+                                  state::Instant now)
 {
     const bool isNew = next.incarnation != this->selfRecord().incarnation
                        || this->selfRecord().phase == MemberPhase::Joining;
@@ -353,8 +354,8 @@
     actions.membersChanged = true;
 }
 
-void Membership::declare(const state::VmId &member, MemberHealth health, GossipActions &actions,
-                         state::Instant now)
+void Membership::declareHealth(const state::VmId &member, MemberHealth health,
+                               GossipActions &actions, state::Instant now)
 {
     const MemberEntry *entry = this->memberTable.find(member);
     if (entry == nullptr || !entry->record.isLive())
@@ -363,7 +364,7 @@
     worse.health = health;
     if (this->memberTable.apply(worse, now) != ApplyResult::Changed)
         return;
-    this->failureDetector.observe(worse, this->memberTable.liveCount(), now);
+    this->failureDetector.updateSuspicion(worse, this->memberTable.liveCount(), now);
     this->news.add({NewsSubject::Member, member.value()}, NewsForm::Short, NewsUrgency::Urgent);
     actions.membersChanged = true;
 }
@@ -379,29 +380,29 @@
     return message;
 }
 
-void Membership::addSelf(GossipMessage &message) const
+void Membership::addSelfRecord(GossipMessage &message) const
 {
     message.members.push_back(this->selfRecord());
 }
 
-void Membership::send(GossipActions &actions, const state::Address &to, GossipMessage message,
-                      state::Instant now)
+void Membership::sendWithPiggyback(GossipActions &actions, const state::Address &to,
+                                   GossipMessage message, state::Instant now)
 {
     const bool isNews = message.kind == GossipKind::News;
     if (isNews || this->budget.left(now) > 0) {
-        this->news.fill(message, this->room(message), this->newsLimits(), this->memberTable,
-                        this->endpointRecords);
+        this->news.fill(message, this->remainingBytes(message), this->newsLimits(),
+                        this->memberTable, this->endpointRecords);
         // Statuses don't go with News datagrams but with probes, whose rate is fixed; else they
         // would use up the budget just when there is much news to send.
-        const std::size_t statuses =
-                std::min(this->settings.statusesPerDatagram, this->room(message) / statusWireBytes);
+        const std::size_t statuses = std::min(this->settings.statusesPerDatagram,
+                                              this->remainingBytes(message) / statusWireBytes);
         if (!isNews)
             message.statuses = this->memberTable.takeStatuses(statuses, this->settings.self);
     }
-    this->sendBare(actions, to, std::move(message));
+    this->sendPlain(actions, to, std::move(message));
 }
 
-void Membership::sendBare(GossipActions &actions, const state::Address &to, GossipMessage message)
+void Membership::sendPlain(GossipActions &actions, const state::Address &to, GossipMessage message)
 {
     const std::size_t bytes = wireBytes(message) + sealAndHeaderBytes;
     this->budget.spend(bytes);
@@ -414,26 +415,26 @@
                              const std::vector<std::uint64_t> &keys, std::size_t maximumMessages,
                              state::Instant now)
 {
-    const std::size_t bytes = this->room(this->makeMessage(GossipKind::Records));
+    const std::size_t bytes = this->remainingBytes(this->makeMessage(GossipKind::Records));
     for (const GossipMessage &part :
-         collect({this->memberTable, this->endpointRecords}, keys, bytes, maximumMessages)) {
-        if (!this->mayExchange(now))
+         collectRecords({this->memberTable, this->endpointRecords}, keys, bytes, maximumMessages)) {
+        if (!this->hasExchangeBudget(now))
             return;
         GossipMessage message = this->makeMessage(GossipKind::Records);
         message.members = part.members;
         message.endpointRecords = part.endpointRecords;
-        this->sendBare(actions, to, std::move(message));
+        this->sendPlain(actions, to, std::move(message));
     }
 }
 
-bool Membership::mayExchange(state::Instant now)
+bool Membership::hasExchangeBudget(state::Instant now)
 {
     // A joining member may always exchange: joinSyncInterval limits its rate, its requests are
     // small.
     return !this->synced || this->budget.left(now) > -overdraftBytes;
 }
 
-std::size_t Membership::room(const GossipMessage &message) const
+std::size_t Membership::remainingBytes(const GossipMessage &message) const
 {
     const std::size_t used = wireBytes(message) + sealBytes;
     return used >= this->settings.datagramBytes ? 0 : this->settings.datagramBytes - used;
--- a/src/coordination/membership/Membership.h
+++ b/src/coordination/membership/Membership.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "coordination/endpoints/EndpointTable.h"
-#include "coordination/membership/ConfirmedSpread.h"
+#include "coordination/membership/DeregistrationTracker.h"
 #include "coordination/membership/FailureDetector.h"
 #include "coordination/membership/GossipMessage.h"
 #include "coordination/membership/MemberTable.h"
@@ -24,7 +24,7 @@
 };
 
 // A received record by which an endpoint gets no more work: it left or is being drained.
-struct HeardEnd
+struct EndOfWorkReport
 {
     state::EndpointId endpoint;
     std::uint64_t incarnation = 0;
@@ -36,7 +36,7 @@
 struct GossipActions
 {
     std::vector<GossipSend> sends;
-    std::vector<HeardEnd> ends;
+    std::vector<EndOfWorkReport> endOfWorkReports;
     bool membersChanged = false; // a record changed; status changes don't count
     bool endpointsChanged = false;
     std::vector<state::LoadReport> loads; // received in a Load message
@@ -91,11 +91,11 @@
     // also if this member doesn't track the deregistration or has given up on it.
     bool isDeregisteredEverywhere(const state::EndpointId &endpoint) const
     {
-        return !this->confirmedSpread.isOnItsWay(endpoint);
+        return !this->deregistrationTracker.isPending(endpoint);
     }
     // Handles a deregistration that an endpoint repeats: if its home entry is gone, this member
     // collects the confirmations instead.
-    void deregisteredAgain(const state::EndpointId &endpoint, state::Instant now);
+    void handleRepeatedDeregistration(const state::EndpointId &endpoint, state::Instant now);
 
     const MemberTable &members() const { return this->memberTable; }
     const endpoints::EndpointTable &endpointTable() const { return this->endpointRecords; }
@@ -111,7 +111,7 @@
 
 private:
     // A ping sent on behalf of another member.
-    struct Relay
+    struct RelayedPing
     {
         state::Address requester;
         std::uint32_t sequence = 0; // of the requester's PingRequest
@@ -123,55 +123,55 @@
     void probe(GossipActions &actions, state::Instant now);
     void gossip(GossipActions &actions, state::Instant now);
     // Sends new records to a few random members at once, without waiting for the next gossip round.
-    void passOn(const std::vector<endpoints::EndpointRecord> &records, GossipActions &actions,
-                state::Instant now);
+    void pushEagerly(const std::vector<endpoints::EndpointRecord> &records, GossipActions &actions,
+                     state::Instant now);
     void resendDeregistrations(GossipActions &actions, state::Instant now);
-    void confirmDeregistrations(GossipActions &actions);
-    void noteDeregistration(const GossipMessage &message, const endpoints::EndpointRecord &news,
-                            const endpoints::MergeResult &merged);
+    void sendConfirmations(GossipActions &actions);
+    void queueConfirmation(const GossipMessage &message, const endpoints::EndpointRecord &news,
+                           const endpoints::MergeResult &merged);
     void exchange(GossipActions &actions, state::Instant now);
     void reconnect(GossipActions &actions, state::Instant now);
     // Sends a direct ping with the record that calls the target suspect or dead, so that its ack
     // carries the refutation. `introduction` is added unless its id is empty; it is meant for a
     // target that may not know this member.
-    void pingAccused(const MemberRecord &target, const MemberRecord &introduction,
-                     GossipActions &actions);
+    void pingForRefutation(const MemberRecord &target, const MemberRecord &introduction,
+                           GossipActions &actions);
     void forget(GossipActions &actions, state::Instant now);
     std::optional<state::Address> exchangePeer();
     // Returns the seeds at whose addresses no live member is known.
-    std::vector<state::Address> unmetSeeds() const;
-    void seekSeeds(GossipActions &actions, state::Instant now);
+    std::vector<state::Address> seedsWithoutLiveMember() const;
+    void contactSeeds(GossipActions &actions, state::Instant now);
 
     bool isRefused(const GossipMessage &message, const state::Address &from, GossipActions &actions,
                    state::Instant now);
     void applyRecords(const GossipMessage &message, const state::Address &from,
                       GossipActions &actions, state::Instant now);
-    void applySelf(const MemberRecord &claim, GossipActions &actions, state::Instant now);
+    void applyClaimAboutSelf(const MemberRecord &claim, GossipActions &actions, state::Instant now);
     void answer(const GossipMessage &message, const state::Address &from, GossipActions &actions,
                 state::Instant now);
     void relayPing(const GossipMessage &message, const state::Address &from, GossipActions &actions,
                    state::Instant now);
     void relayAck(const GossipMessage &message, GossipActions &actions, state::Instant now);
-    void followSummary(const GossipMessage &summary, const state::Address &from,
+    void handleSummary(const GossipMessage &summary, const state::Address &from,
                        GossipActions &actions, state::Instant now);
 
-    void changeSelf(const MemberRecord &next, GossipActions &actions, state::Instant now);
-    void declare(const state::VmId &member, MemberHealth health, GossipActions &actions,
-                 state::Instant now);
+    void updateSelfRecord(const MemberRecord &next, GossipActions &actions, state::Instant now);
+    void declareHealth(const state::VmId &member, MemberHealth health, GossipActions &actions,
+                       state::Instant now);
     GossipMessage makeMessage(GossipKind kind, std::uint32_t sequence = 0) const;
-    void addSelf(GossipMessage &message) const;
+    void addSelfRecord(GossipMessage &message) const;
     // Fills the rest of the datagram with news before sending. A message of another kind than News
     // gets news and statuses only while the byte budget is above zero.
-    void send(GossipActions &actions, const state::Address &to, GossipMessage message,
-              state::Instant now);
+    void sendWithPiggyback(GossipActions &actions, const state::Address &to, GossipMessage message,
+                           state::Instant now);
     // Sends the message as it is.
-    void sendBare(GossipActions &actions, const state::Address &to, GossipMessage message);
+    void sendPlain(GossipActions &actions, const state::Address &to, GossipMessage message);
     void sendRecords(GossipActions &actions, const state::Address &to,
                      const std::vector<std::uint64_t> &keys, std::size_t maximumMessages,
                      state::Instant now);
-    std::size_t room(const GossipMessage &message) const; // bytes left in its datagram
+    std::size_t remainingBytes(const GossipMessage &message) const; // bytes left in its datagram
     NewsLimits newsLimits() const;
-    bool mayExchange(state::Instant now);
+    bool hasExchangeBudget(state::Instant now);
 
     MembershipSettings settings;
     std::mt19937_64 random;
@@ -179,24 +179,24 @@
     endpoints::EndpointTable endpointRecords;
     NewsQueue news;
     // The deregistrations for which this member collects confirmations.
-    ConfirmedSpread confirmedSpread;
+    DeregistrationTracker deregistrationTracker;
     // Keys of deregistrations received since the last tick, by the member that waits for the
     // confirmation.
-    std::map<state::VmId, std::vector<std::uint64_t>> owedConfirmations;
+    std::map<state::VmId, std::vector<std::uint64_t>> pendingConfirmations;
     FailureDetector failureDetector;
     state::ByteBudget budget;
     GossipCounters gossipCounters;
     MemberStatus ownStatus;
-    std::map<std::uint32_t, Relay> relays; // by the sequence of the relayed ping
-    std::uint32_t lastRelay = 0;
+    std::map<std::uint32_t, RelayedPing> relayedPings; // by the sequence of the relayed ping
+    std::uint32_t lastRelayedSequence = 0;
     state::Instant startedAt;
     state::Instant nextGossip;
     state::Instant nextExchange;
     state::Instant nextReconnect;
-    state::Instant nextSeek;
+    state::Instant nextSeedContact;
     state::Instant nextForget;
     bool synced = false;
-    bool differs = false; // the last Summary reported differing buckets
+    bool differsFromPeer = false; // the last Summary reported differing buckets
     bool superseded = false;
 };
 
--- a/src/coordination/membership/MembershipReceive.cpp
+++ b/src/coordination/membership/MembershipReceive.cpp
@@ -22,7 +22,7 @@
     GossipActions actions;
     if (this->superseded || this->isRefused(message, from, actions, now))
         return actions;
-    this->failureDetector.heard(now);
+    this->failureDetector.recordContact(now);
     this->applyRecords(message, from, actions, now);
     if (!this->superseded)
         this->answer(message, from, actions, now);
@@ -40,7 +40,7 @@
         MemberRecord senderRecord = this->selfRecord();
         senderRecord.incarnation = message.senderIncarnation;
         if (senderRecord.incarnation > this->selfRecord().incarnation)
-            this->applySelf(senderRecord, actions, now);
+            this->applyClaimAboutSelf(senderRecord, actions, now);
         return true;
     }
     const MemberEntry *sender = this->memberTable.find(message.sender);
@@ -52,7 +52,7 @@
     if (this->budget.left(now) > 0) {
         GossipMessage correction = this->makeMessage(GossipKind::Records);
         correction.members.push_back(sender->record);
-        this->sendBare(actions, from, std::move(correction));
+        this->sendPlain(actions, from, std::move(correction));
     }
     return true;
 }
@@ -64,18 +64,18 @@
     std::vector<std::uint64_t> keysOutdatedAtSender;
     for (const MemberRecord &record : message.members) {
         if (record.id == this->settings.self) {
-            this->applySelf(record, actions, now);
+            this->applyClaimAboutSelf(record, actions, now);
             continue;
         }
         const ApplyResult result = this->memberTable.apply(record, now);
         if (result == ApplyResult::Older)
             keysOutdatedAtSender.push_back(memberKey(record.id));
         if (result == ApplyResult::Same)
-            this->news.heardAgain({NewsSubject::Member, record.id.value()});
+            this->news.recordDuplicate({NewsSubject::Member, record.id.value()});
         if (result != ApplyResult::Changed)
             continue;
         actions.membersChanged = true;
-        this->failureDetector.observe(record, this->memberTable.liveCount(), now);
+        this->failureDetector.updateSuspicion(record, this->memberTable.liveCount(), now);
         if (spread)
             this->news.add({NewsSubject::Member, record.id.value()},
                            record.description ? NewsForm::Full : NewsForm::Short,
@@ -84,26 +84,26 @@
     std::vector<endpoints::EndpointRecord> fresh;
     for (const endpoints::EndpointRecord &record : message.endpointRecords) {
         const endpoints::MergeResult merged = this->endpointRecords.apply(record, now);
-        this->noteDeregistration(message, record, merged);
-        if (merged.newsIsOlder)
+        this->queueConfirmation(message, record, merged);
+        if (merged.updateIsOlder)
             keysOutdatedAtSender.push_back(endpoints::endpointKey(record.id));
         if (!merged.changed) {
-            if (!merged.newsIsOlder)
-                this->news.heardAgain({NewsSubject::Endpoint, record.id.value()});
+            if (!merged.updateIsOlder)
+                this->news.recordDuplicate({NewsSubject::Endpoint, record.id.value()});
             continue;
         }
         actions.endpointsChanged = true;
-        if (endsWork(merged.record))
-            actions.ends.push_back(
+        if (stopsNewWork(merged.record))
+            actions.endOfWorkReports.push_back(
                     {record.id, merged.record.incarnation, message.sender, message.kind});
         if (spread)
             this->news.add({NewsSubject::Endpoint, record.id.value()},
                            record.description ? NewsForm::Full : NewsForm::Short,
                            record.description ? NewsUrgency::Ordinary : NewsUrgency::Critical);
-        if (spread && (record.description || endsWork(record)))
+        if (spread && (record.description || stopsNewWork(record)))
             fresh.push_back(record);
     }
-    this->passOn(fresh, actions, now);
+    this->pushEagerly(fresh, actions, now);
     for (const MemberStatus &status : message.statuses) {
         if (status.member != this->ownStatus.member)
             this->memberTable.applyStatus(status);
@@ -114,14 +114,15 @@
         this->sendRecords(actions, from, keysOutdatedAtSender, 1, now);
 }
 
-void Membership::applySelf(const MemberRecord &claim, GossipActions &actions, state::Instant now)
+void Membership::applyClaimAboutSelf(const MemberRecord &claim, GossipActions &actions,
+                                     state::Instant now)
 {
     MemberRecord own = this->selfRecord();
     if (!claim.supersedes(own))
         return;
     if (claim.incarnation == own.incarnation) {
         own.version = claim.version + 1; // refutes suspicion, death or a predecessor's phase
-        this->changeSelf(own, actions, now);
+        this->updateSelfRecord(own, actions, now);
         return;
     }
     if (own.phase != MemberPhase::Joining) {
@@ -133,7 +134,7 @@
     own.incarnation = claim.incarnation + 1;
     own.version = 0;
     this->ownStatus.sequence = std::max(this->ownStatus.sequence, own.incarnation);
-    this->changeSelf(own, actions, now);
+    this->updateSelfRecord(own, actions, now);
     this->memberTable.applyStatus(this->ownStatus);
 }
 
@@ -153,8 +154,8 @@
                 message.members.begin(), message.members.end(),
                 [&](const MemberRecord &record) { return record.id == this->settings.self; });
         if (carriesSelfRecord)
-            this->addSelf(ack);
-        this->send(actions, from, std::move(ack), now);
+            this->addSelfRecord(ack);
+        this->sendWithPiggyback(actions, from, std::move(ack), now);
         return;
     }
     case GossipKind::PingRequest:
@@ -164,19 +165,19 @@
         if ((message.sequence & relaySequenceBit) != 0)
             this->relayAck(message, actions, now);
         else
-            this->failureDetector.acknowledged(message.sequence);
+            this->failureDetector.recordAck(message.sequence);
         return;
     case GossipKind::Digest: {
-        if (message.digest.size() != digestBuckets || !this->mayExchange(now))
+        if (message.digest.size() != digestBuckets || !this->hasExchangeBudget(now))
             return;
         GossipMessage summary = this->makeMessage(GossipKind::Summary);
-        summarize({this->memberTable, this->endpointRecords}, message.digest, this->room(summary),
-                  this->random, now, summary);
-        this->sendBare(actions, from, std::move(summary));
+        summarize({this->memberTable, this->endpointRecords}, message.digest,
+                  this->remainingBytes(summary), this->random, now, summary);
+        this->sendPlain(actions, from, std::move(summary));
         return;
     }
     case GossipKind::Summary:
-        this->followSummary(message, from, actions, now);
+        this->handleSummary(message, from, actions, now);
         return;
     case GossipKind::Pull:
         this->sendRecords(actions, from, message.keys, recordMessagesPerPull, now);
@@ -186,8 +187,8 @@
         return;
     case GossipKind::Confirm:
         for (const std::uint64_t key : message.keys)
-            this->confirmedSpread.confirmed(memberKey(message.sender), key);
-        this->confirmedSpread.settle(this->memberTable, this->settings.self, now);
+            this->deregistrationTracker.recordConfirmation(memberKey(message.sender), key);
+        this->deregistrationTracker.removeFinished(this->memberTable, this->settings.self, now);
         return;
     case GossipKind::News:
     case GossipKind::Records:
@@ -202,37 +203,38 @@
     const MemberEntry *target = this->memberTable.find(message.target);
     if (target == nullptr || !target->record.isLive())
         return;
-    const std::uint32_t sequence = ++this->lastRelay | relaySequenceBit;
-    this->relays[sequence] = Relay{from, message.sequence, now + relayTimeout};
+    const std::uint32_t sequence = ++this->lastRelayedSequence | relaySequenceBit;
+    this->relayedPings[sequence] = RelayedPing{from, message.sequence, now + relayTimeout};
     GossipMessage ping = this->makeMessage(GossipKind::Ping, sequence);
     ping.target = message.target;
-    this->sendBare(actions, target->record.description->gossip, std::move(ping));
+    this->sendPlain(actions, target->record.description->gossip, std::move(ping));
 }
 
 void Membership::relayAck(const GossipMessage &message, GossipActions &actions, state::Instant now)
 {
-    const auto relay = this->relays.find(message.sequence);
-    if (relay == this->relays.end() || now >= relay->second.until)
+    const auto relay = this->relayedPings.find(message.sequence);
+    if (relay == this->relayedPings.end() || now >= relay->second.until)
         return;
-    this->sendBare(actions, relay->second.requester,
-                   this->makeMessage(GossipKind::Ack, relay->second.sequence));
-    this->relays.erase(relay);
+    this->sendPlain(actions, relay->second.requester,
+                    this->makeMessage(GossipKind::Ack, relay->second.sequence));
+    this->relayedPings.erase(relay);
 }
 
-void Membership::followSummary(const GossipMessage &summary, const state::Address &from,
+void Membership::handleSummary(const GossipMessage &summary, const state::Address &from,
                                GossipActions &actions, state::Instant now)
 {
-    this->differs = summary.differingBuckets > 0;
+    this->differsFromPeer = summary.differingBuckets > 0;
     if (summary.differingBuckets == 0) {
         this->synced = true;
         return;
     }
-    SummaryPlan plan = planFor({this->memberTable, this->endpointRecords}, summary, now);
+    SummaryPlan plan = planExchange({this->memberTable, this->endpointRecords}, summary, now);
     GossipMessage pull = this->makeMessage(GossipKind::Pull);
-    plan.pull.resize(std::min(plan.pull.size(), this->room(pull) / sizeof(std::uint64_t)));
+    plan.pull.resize(
+            std::min(plan.pull.size(), this->remainingBytes(pull) / sizeof(std::uint64_t)));
     pull.keys = std::move(plan.pull);
-    if (!pull.keys.empty() && this->mayExchange(now))
-        this->sendBare(actions, from, std::move(pull));
+    if (!pull.keys.empty() && this->hasExchangeBudget(now))
+        this->sendPlain(actions, from, std::move(pull));
     this->sendRecords(actions, from, plan.push, recordMessagesPerPull, now);
 }
 
--- a/src/coordination/membership/MembershipSettings.h
+++ b/src/coordination/membership/MembershipSettings.h
@@ -30,17 +30,17 @@
     // endpoints at once when it receives them, in addition to the gossip rounds. This reaches all
     // but one member in 150 within four hops (1 - e^-5), at a cost of five datagrams for each
     // member, whatever the number of members.
-    unsigned passOnFanout = 5;
+    unsigned eagerPushFanout = 5;
     unsigned urgentNewsFactor = 4;
     unsigned ordinaryNewsFactor = 2;
     state::Duration syncInterval = std::chrono::seconds(5);
     state::Duration catchUpInterval = std::chrono::seconds(2); // while tables differ
     state::Duration joinSyncInterval = std::chrono::milliseconds(250);
     state::Duration joinTimeout = std::chrono::seconds(30); // then it counts as synced in any case
-    state::Duration seekInterval = std::chrono::seconds(2); // to one seed of those not known
-    state::Duration reconnectInterval = std::chrono::seconds(10); // pings one dead member
-    state::Duration leftKept = std::chrono::hours(1);
-    state::Duration deadKept = std::chrono::hours(24); // outlasts a partition between regions
+    state::Duration seedContactInterval = std::chrono::seconds(2); // to one seed of those not known
+    state::Duration reconnectInterval = std::chrono::seconds(10);  // pings one dead member
+    state::Duration leftRetention = std::chrono::hours(1);
+    state::Duration deadRetention = std::chrono::hours(24); // outlasts a partition between regions
     std::size_t statusesPerDatagram = 8;
     std::size_t datagramBytes = 1'200; // including the seal; below the usual path MTUs
     double bytesPerSecond = 2'000;     // average send rate, including IP and UDP headers
--- a/src/coordination/membership/NewsQueue.cpp
+++ b/src/coordination/membership/NewsQueue.cpp
@@ -45,7 +45,7 @@
     });
 }
 
-void NewsQueue::heardAgain(const NewsKey &key)
+void NewsQueue::recordDuplicate(const NewsKey &key)
 {
     const auto item = this->items.find(key);
     if (item != this->items.end() && item->second.urgency == NewsUrgency::Ordinary)
--- a/src/coordination/membership/NewsQueue.h
+++ b/src/coordination/membership/NewsQueue.h
@@ -55,7 +55,7 @@
     void add(const NewsKey &key, NewsForm form, NewsUrgency urgency);
     // Counts a record received from another member as a send, because it is spreading already. Only
     // ordinary news is counted: the rest is short and must not wait for the exchange.
-    void heardAgain(const NewsKey &key);
+    void recordDuplicate(const NewsKey &key);
     // Adds records to `message` as far as they fit into `bytes`, by urgency and then fewest sends.
     void fill(GossipMessage &message, std::size_t bytes, const NewsLimits &limits,
               const MemberTable &members, const endpoints::EndpointTable &endpointTable);
--- a/src/coordination/orders/EnforcementTracker.cpp
+++ b/src/coordination/orders/EnforcementTracker.cpp
@@ -10,7 +10,7 @@
 {
     this->entries.clear();
     for (const state::VmId &entry : liveEntries)
-        this->entries.emplace(entry, Seen{0, now});
+        this->entries.emplace(entry, EntryReport{0, now});
 }
 
 void EnforcementTracker::onFeedRequest(const state::VmId &entry, std::uint64_t version,
@@ -18,9 +18,9 @@
 {
     // A restarted entry reports 0: it has no table and admits nothing, so the version reported
     // before its restart must not count.
-    Seen &report = this->entries[entry];
+    EntryReport &report = this->entries[entry];
     report.version = version;
-    report.at = std::max(report.at, now);
+    report.reportedAt = std::max(report.reportedAt, now);
 }
 
 void EnforcementTracker::onEntryLeft(const state::VmId &entry)
@@ -43,7 +43,7 @@
     return result;
 }
 
-void EnforcementTracker::forgetSilent(state::Instant now)
+void EnforcementTracker::removeExpired(state::Instant now)
 {
     std::erase_if(this->entries,
                   [&](const auto &each) { return !this->mayAdmit(each.second, now); });
--- a/src/coordination/orders/EnforcementTracker.h
+++ b/src/coordination/orders/EnforcementTracker.h
@@ -19,7 +19,7 @@
     std::size_t entries = 0; // entries that may admit requests
     std::vector<state::VmId> missing;
 
-    bool everywhere() const { return this->missing.empty(); }
+    bool inForceEverywhere() const { return this->missing.empty(); }
     auto operator<=>(const Enforcement &) const = default;
 };
 
@@ -38,22 +38,22 @@
     void onFeedRequest(const state::VmId &entry, std::uint64_t version, state::Instant now);
     void onEntryLeft(const state::VmId &entry); // the entry announced it after it stopped admitting
     Enforcement enforcementOf(std::uint64_t version, state::Instant now) const;
-    void forgetSilent(state::Instant now);
+    void removeExpired(state::Instant now);
 
 private:
-    struct Seen
+    struct EntryReport
     {
         std::uint64_t version = 0; // latest reported
-        state::Instant at;         // when the latest request came
+        state::Instant reportedAt; // when the latest request came
     };
 
-    bool mayAdmit(const Seen &report, state::Instant now) const
+    bool mayAdmit(const EntryReport &report, state::Instant now) const
     {
-        return now < report.at + this->lease;
+        return now < report.reportedAt + this->lease;
     }
 
     state::Duration lease;
-    std::map<state::VmId, Seen> entries;
+    std::map<state::VmId, EntryReport> entries;
 };
 
 } // namespace lavenderthread::coordination::orders
--- a/src/coordination/orders/FeedReceiver.cpp
+++ b/src/coordination/orders/FeedReceiver.cpp
@@ -14,16 +14,16 @@
 {
     if (this->members == 0 || now < this->pollAt)
         return std::nullopt;
-    if (now >= this->newsAt + this->settings.switchAfter) {
+    if (now >= this->confirmedOrSwitchedAt + this->settings.memberSwitchTimeout) {
         this->switchMember();
-        this->newsAt = now;
+        this->confirmedOrSwitchedAt = now;
     }
     constexpr std::size_t maxOutstanding = 16;
     if (this->outstanding.size() >= maxOutstanding)
         this->outstanding.erase(this->outstanding.begin());
-    this->pollAt = now + this->settings.refreshEvery;
-    this->outstanding.emplace(++this->lastRequest, now);
-    return FeedRequest{this->lastRequest, this->member, this->current.version};
+    this->pollAt = now + this->settings.refreshInterval;
+    this->outstanding.emplace(++this->lastRequestId, now);
+    return FeedRequest{this->lastRequestId, this->member, this->current.version};
 }
 
 bool FeedReceiver::onAnswer(const FeedAnswer &answer, Instant now)
@@ -33,7 +33,7 @@
         return false;
     const Instant sentAt = sent->second;
     this->outstanding.erase(sent);
-    this->heardOf(answer.version, now);
+    this->onVersionReported(answer.version, now);
     const bool changed = this->applyPages(answer.pages);
     // The lease counts from the sending of the request: a delayed answer confirms what was newest
     // then, not what is newest now. A member that reports an older version as the newest than this
@@ -44,25 +44,26 @@
                 std::max(this->confirmedUntil, sentAt + this->settings.inForceWithin);
         this->freshUntil = std::max(this->freshUntil, sentAt + this->settings.lease);
         this->everFresh = true;
-        this->newsAt = now;
+        this->confirmedOrSwitchedAt = now;
     }
     return changed;
 }
 
-void FeedReceiver::heardOf(std::uint64_t version, Instant now)
+void FeedReceiver::onVersionReported(std::uint64_t version, Instant now)
 {
     constexpr std::size_t maxMissingVersions = 64;
-    const std::uint64_t newest =
-            this->lacking.empty() ? this->current.version : this->lacking.back().version;
-    if (version > newest && this->lacking.size() < maxMissingVersions)
-        this->lacking.push_back({version, now});
+    const std::uint64_t newest = this->missingVersions.empty()
+                                         ? this->current.version
+                                         : this->missingVersions.back().version;
+    if (version > newest && this->missingVersions.size() < maxMissingVersions)
+        this->missingVersions.push_back({version, now});
 }
 
 std::optional<Instant> FeedReceiver::behindSince() const
 {
-    if (this->lacking.empty())
+    if (this->missingVersions.empty())
         return std::nullopt;
-    return this->lacking.front().at;
+    return this->missingVersions.front().reportedAt;
 }
 
 void FeedReceiver::onRequestFailed(std::uint64_t id)
@@ -85,16 +86,16 @@
     constexpr state::Duration minArrivalTime = std::chrono::milliseconds(250);
     ViewLease lease{this->confirmedUntil, std::nullopt};
     if (const auto since = this->behindSince())
-        lease.outdatedFrom =
-                *since
-                + std::max(minArrivalTime, this->settings.inForceWithin
-                                                   - this->settings.refreshEvery - maxAnswerTime);
+        lease.outdatedFrom = *since
+                             + std::max(minArrivalTime, this->settings.inForceWithin
+                                                                - this->settings.refreshInterval
+                                                                - maxAnswerTime);
     return lease;
 }
 
 bool FeedReceiver::admits(Instant now) const
 {
-    if (this->lease().at(now) == ViewStanding::Outdated)
+    if (this->lease().statusAt(now) == ViewStatus::Outdated)
         return false;
     return this->isFresh(now) || (this->everFresh && this->settings.admitWhenStale);
 }
@@ -118,8 +119,9 @@
     }
     this->current = first.from == 0 ? ControlView::fromChanges(changes, first.to)
                                     : this->current.with(changes, first.to);
-    while (!this->lacking.empty() && this->lacking.front().version <= this->current.version)
-        this->lacking.pop_front();
+    while (!this->missingVersions.empty()
+           && this->missingVersions.front().version <= this->current.version)
+        this->missingVersions.pop_front();
     return true;
 }
 
--- a/src/coordination/orders/FeedReceiver.h
+++ b/src/coordination/orders/FeedReceiver.h
@@ -23,16 +23,16 @@
     // How long a confirmed answer keeps the view fresh, counted from the sending of its request.
     // Together with the time of one commit this is below the 12 s limit of `inForceWithin`.
     state::Duration lease = std::chrono::seconds(8);
-    state::Duration refreshEvery = std::chrono::seconds(1);
+    state::Duration refreshInterval = std::chrono::seconds(1);
     // Without a confirmed answer for this long the entry asks another control member.
-    state::Duration switchAfter = std::chrono::seconds(3);
+    state::Duration memberSwitchTimeout = std::chrono::seconds(3);
     // Admit under a stale view, for regions that prefer serving under an old table to stopping
     // during a long network partition. "In force everywhere" then does not hold for them.
     bool admitWhenStale = false;
 };
 
 // How far decisions based on a view may be relied on.
-enum class ViewStanding : std::uint8_t {
+enum class ViewStatus : std::uint8_t {
     Confirmed,   // holds every change acknowledged more than `inForceWithin` ago
     Unconfirmed, // not confirmed lately: what it refuses may since be allowed
     Outdated,    // a newer version has been known for too long: decide nothing
@@ -44,11 +44,11 @@
     state::Instant confirmedUntil;
     std::optional<state::Instant> outdatedFrom;
 
-    ViewStanding at(state::Instant now) const
+    ViewStatus statusAt(state::Instant now) const
     {
         if (this->outdatedFrom && now >= *this->outdatedFrom)
-            return ViewStanding::Outdated;
-        return now < this->confirmedUntil ? ViewStanding::Confirmed : ViewStanding::Unconfirmed;
+            return ViewStatus::Outdated;
+        return now < this->confirmedUntil ? ViewStatus::Confirmed : ViewStatus::Unconfirmed;
     }
     bool operator==(const ViewLease &) const = default;
 };
@@ -91,7 +91,7 @@
         return this->applyPages(pages);
     }
     // A control member has applied this version, whether or not it could confirm it as the newest.
-    void heardOf(std::uint64_t version, state::Instant now);
+    void onVersionReported(std::uint64_t version, state::Instant now);
     // When the oldest version that the view lacks was first reported; nothing if it lacks none.
     std::optional<state::Instant> behindSince() const;
     void onRequestFailed(std::uint64_t id);
@@ -108,10 +108,10 @@
     state::Instant nextPoll() const { return this->pollAt; }
 
 private:
-    struct HeardVersion
+    struct ReportedVersion
     {
         std::uint64_t version = 0;
-        state::Instant at; // when it was first reported
+        state::Instant reportedAt; // when it was first reported
     };
 
     bool applyPages(const std::vector<state::control::FeedPage> &pages);
@@ -123,14 +123,14 @@
     state::control::ControlView current; // its version never decreases
     // Known versions newer than the view's, ascending; while the queue is full, newer ones are not
     // added.
-    std::deque<HeardVersion> lacking;
+    std::deque<ReportedVersion> missingVersions;
     state::Instant freshUntil;     // never decreases
     state::Instant confirmedUntil; // never decreases
     bool everFresh = false;
-    std::uint64_t lastRequest = 0;
+    std::uint64_t lastRequestId = 0;
     std::map<std::uint64_t, state::Instant> outstanding; // by request id: when it was sent
     state::Instant pollAt;
-    state::Instant newsAt; // last confirmed answer or switch of member
+    state::Instant confirmedOrSwitchedAt; // last confirmed answer or switch of member
 };
 
 } // namespace lavenderthread::coordination::orders
--- a/src/coordination/orders/LoadPacer.h
+++ b/src/coordination/orders/LoadPacer.h
@@ -25,7 +25,7 @@
     // A new leader does not know which loads its predecessor started, so it assumes one of `bytes`.
     void reset(std::uint64_t bytes, state::Instant now)
     {
-        this->nextStart = now + this->cost(bytes);
+        this->nextStart = now + this->loadDuration(bytes);
     }
     bool mayStart(std::uint32_t running, state::Instant now) const
     {
@@ -33,11 +33,11 @@
     }
     void started(std::uint64_t bytes, state::Instant now)
     {
-        this->nextStart = std::max(this->nextStart, now) + this->cost(bytes);
+        this->nextStart = std::max(this->nextStart, now) + this->loadDuration(bytes);
     }
 
 private:
-    state::Duration cost(std::uint64_t bytes) const
+    state::Duration loadDuration(std::uint64_t bytes) const
     {
         constexpr double microseconds = 1e6;
         const double seconds =
--- a/src/coordination/orders/OrderPlanner.cpp
+++ b/src/coordination/orders/OrderPlanner.cpp
@@ -73,7 +73,7 @@
     this->leading = true;
     this->term = newTerm;
     this->startedAt = now;
-    this->ordersFrom = unfencedFrom;
+    this->unfencedSendsFrom = unfencedFrom;
     this->tasks.clear();
     this->pacer.reset(largestModel, now);
 }
@@ -134,7 +134,7 @@
         return {};
     Round round{input, now, {}, 0, {}, {}};
     std::vector<const Order *> orders;
-    for (const Order &order : input.open)
+    for (const Order &order : input.openOrders)
         orders.push_back(&order);
     const auto demandOf = [&](const Order *order) {
         const auto found = input.unmetDemand.find(order->spec.model);
@@ -145,10 +145,10 @@
     std::stable_sort(orders.begin(), orders.end(), [&](const Order *left, const Order *right) {
         return demandOf(left) > demandOf(right);
     });
-    this->noteRunning(round);
+    this->collectInProgress(round);
     for (const Order *order : orders) {
         if (!order->isStanding())
-            this->planNamed(round, *order);
+            this->planNamedEndpoints(round, *order);
         else if (order->spec.kind == OrderKind::Load)
             this->planStandingLoad(round, *order);
         else
@@ -157,26 +157,26 @@
     return std::move(round.actions);
 }
 
-void OrderPlanner::noteRunning(Round &round) const
+void OrderPlanner::collectInProgress(Round &round) const
 {
     // Superseded orders count too: two sends to one endpoint could arrive in either order.
     for (const auto &[key, task] : this->tasks) {
         if (task.sending)
             round.busy.insert(key.second);
     }
-    for (const Order &order : round.input.open) {
+    for (const Order &order : round.input.openOrders) {
         const auto first = this->tasks.lower_bound({order.id, EndpointId()});
         for (auto task = first; task != this->tasks.end() && task->first.first == order.id; ++task)
             round.loads += this->isLoading(task->first, order, round.now) ? 1 : 0;
     }
 }
 
-void OrderPlanner::planNamed(Round &round, const Order &order)
+void OrderPlanner::planNamedEndpoints(Round &round, const Order &order)
 {
     for (const EndpointId &endpoint : order.spec.endpoints) {
         const EndpointOrderProgress *progress = progressOf(order, endpoint);
         if (progress == nullptr || isUnderWay(order, endpoint))
-            this->planOne(round, order, endpoint);
+            this->planEndpoint(round, order, endpoint);
     }
 }
 
@@ -185,7 +185,7 @@
     for (const auto &[id, endpoint] : this->endpoints) {
         const bool wanted = this->hasModel(id, order.spec.model) || isUnderWay(order, id);
         if (wanted && !order.excluded.contains(id))
-            this->planOne(round, order, id);
+            this->planEndpoint(round, order, id);
     }
 }
 
@@ -209,7 +209,7 @@
         }
     }
     for (const EndpointId &id : loading)
-        this->planOne(round, order, id);
+        this->planEndpoint(round, order, id);
     std::vector<EndpointId> candidates = this->loadCandidates(round, order);
     // Spread the replicas, so that losing one failure domain loses as few of them as possible.
     while (have < order.spec.endpointCount && !candidates.empty()) {
@@ -225,7 +225,7 @@
                 });
         ++have;
         ++ofDomain[this->endpoints.at(*next).description.failureDomain];
-        this->planOne(round, order, *next);
+        this->planEndpoint(round, order, *next);
         candidates.erase(next);
     }
 }
@@ -235,7 +235,7 @@
     const state::table::ModelVersion *model =
             round.input.view.catalog.models().find(order.spec.model);
     std::set<EndpointId> stopping;
-    for (const Order &each : round.input.open) {
+    for (const Order &each : round.input.openOrders) {
         if (each.spec.kind == OrderKind::Stop)
             stopping.insert(each.spec.endpoints.begin(), each.spec.endpoints.end());
     }
@@ -256,13 +256,13 @@
     return candidates;
 }
 
-void OrderPlanner::planOne(Round &round, const Order &order, const EndpointId &id)
+void OrderPlanner::planEndpoint(Round &round, const Order &order, const EndpointId &id)
 {
     const EndpointOrderProgress *progress = progressOf(order, id);
     const auto found = this->endpoints.find(id);
     if (found == this->endpoints.end()) {
         // A stopped endpoint either stays away or returns as a new incarnation.
-        const bool absent = round.now >= this->startedAt + this->settings.absence;
+        const bool absent = round.now >= this->startedAt + this->settings.absenceTimeout;
         if (order.spec.kind == OrderKind::Stop && progress != nullptr && absent)
             this->record(round, order, id, EndpointOrderState::Applied, "");
         return;
@@ -285,9 +285,9 @@
         this->record(round, order, id, EndpointOrderState::Applied, "");
         return;
     }
-    if (task.everSent && !this->mayRepeat(order, task, round.now)) {
+    if (task.everSent && !this->mayResend(order, task, round.now)) {
         // Keep observing: the effect may come later than the answer.
-        this->observe(round, endpoint, round.now - this->settings.observeEvery);
+        this->observe(round, endpoint, round.now - this->settings.observeInterval);
         return;
     }
     if (!isUnderWay(order, id)) {
@@ -302,10 +302,11 @@
 void OrderPlanner::send(Round &round, const Order &order, Endpoint &endpoint, Task &task)
 {
     const Instant now = round.now;
-    const Instant sendBefore = now + this->settings.sendTime;
+    const Instant sendBefore = now + this->settings.maxSendDelay;
     // An order sent after the lease ends could arrive after an order of the next leader.
     const bool withinLease = sendBefore < round.input.leaseUntil;
-    const bool safeFromLateOrders = endpoint.description.honoursFencing || now >= this->ordersFrom;
+    const bool safeFromLateOrders =
+            endpoint.description.honoursFencing || now >= this->unfencedSendsFrom;
     const EndpointId &id = endpoint.description.id;
     if (!withinLease || !safeFromLateOrders || round.busy.contains(id))
         return;
@@ -348,7 +349,8 @@
 {
     if (endpoint.observation && endpoint.observedAt >= after)
         return true;
-    const bool due = !endpoint.asked || round.now >= endpoint.askedAt + this->settings.observeEvery;
+    const bool due =
+            !endpoint.asked || round.now >= endpoint.askedAt + this->settings.observeInterval;
     if (due && round.observing.insert(endpoint.description.id).second) {
         endpoint.asked = true;
         endpoint.askedAt = round.now;
@@ -357,10 +359,10 @@
     return false;
 }
 
-bool OrderPlanner::mayRepeat(const Order &order, const Task &task, Instant now) const
+bool OrderPlanner::mayResend(const Order &order, const Task &task, Instant now) const
 {
     const bool load = order.spec.kind == OrderKind::Load;
-    return now >= task.sentAt + (load ? this->settings.loadTime : this->settings.repeatAfter);
+    return now >= task.sentAt + (load ? this->settings.loadTimeout : this->settings.resendAfter);
 }
 
 bool OrderPlanner::isLoading(const TaskKey &key, const Order &order, Instant now) const
@@ -369,7 +371,7 @@
     if (found == this->tasks.end() || order.spec.kind != OrderKind::Load)
         return false;
     const Task &task = found->second;
-    const bool open = task.everSent && !task.refused && !this->mayRepeat(order, task, now);
+    const bool open = task.everSent && !task.refused && !this->mayResend(order, task, now);
     return open && this->endpoints.contains(key.second)
            && !this->hasModel(key.second, order.spec.model);
 }
--- a/src/coordination/orders/OrderPlanner.h
+++ b/src/coordination/orders/OrderPlanner.h
@@ -61,21 +61,21 @@
 struct PlannerSettings
 {
     LoadPacerSettings loads;
-    state::Duration observeEvery = std::chrono::seconds(2); // for endpoints with open orders
-    state::Duration repeatAfter = std::chrono::seconds(5);
+    state::Duration observeInterval = std::chrono::seconds(2); // for endpoints with open orders
+    state::Duration resendAfter = std::chrono::seconds(5);
     // How long a load counts as in progress. The endpoint's state does not show a running load, and
     // sending it again would use the weight store's rate twice.
-    state::Duration loadTime = std::chrono::minutes(10);
+    state::Duration loadTimeout = std::chrono::minutes(10);
     // A stop counts as applied once the endpoint is absent and this leadership has lasted this
     // long.
-    state::Duration absence = std::chrono::seconds(30);
-    state::Duration sendTime = std::chrono::seconds(2); // maximum from decision to hand-over
+    state::Duration absenceTimeout = std::chrono::seconds(30);
+    state::Duration maxSendDelay = std::chrono::seconds(2); // maximum from decision to hand-over
 };
 
 // State of the leader that a plan is based on.
 struct PlannerInput
 {
-    const std::vector<state::control::Order> &open; // ascending by id
+    const std::vector<state::control::Order> &openOrders; // ascending by id
     const state::control::ControlView &view;
     std::uint64_t appliedIndex = 0;
     state::Instant leaseUntil;                      // end of this leader's lease
@@ -127,17 +127,17 @@
     using TaskKey = std::pair<std::uint64_t, state::EndpointId>; // order and endpoint
     struct Round;                                                // one call of plan()
 
-    void noteRunning(Round &round) const;
-    void planNamed(Round &round, const state::control::Order &order);
+    void collectInProgress(Round &round) const;
+    void planNamedEndpoints(Round &round, const state::control::Order &order);
     void planStandingLoad(Round &round, const state::control::Order &order);
     void planStandingUnload(Round &round, const state::control::Order &order);
-    void planOne(Round &round, const state::control::Order &order,
-                 const state::EndpointId &endpoint);
+    void planEndpoint(Round &round, const state::control::Order &order,
+                      const state::EndpointId &endpoint);
     void record(Round &round, const state::control::Order &order, const state::EndpointId &endpoint,
                 state::control::EndpointOrderState newState, const std::string &cause);
     void send(Round &round, const state::control::Order &order, Endpoint &endpoint, Task &task);
     bool observe(Round &round, Endpoint &endpoint, state::Instant after) const;
-    bool mayRepeat(const state::control::Order &order, const Task &task, state::Instant now) const;
+    bool mayResend(const state::control::Order &order, const Task &task, state::Instant now) const;
     bool isLoading(const TaskKey &key, const state::control::Order &order,
                    state::Instant now) const;
     bool hasModel(const state::EndpointId &endpoint, const state::ModelName &model) const;
@@ -148,8 +148,8 @@
     LoadPacer pacer;
     bool leading = false;
     std::uint64_t term = 0;
-    state::Instant startedAt;  // start of this leadership
-    state::Instant ordersFrom; // earliest send to endpoints that ignore fencing
+    state::Instant startedAt;         // start of this leadership
+    state::Instant unfencedSendsFrom; // earliest send to endpoints that ignore fencing
     std::map<state::EndpointId, Endpoint> endpoints;
     std::map<TaskKey, Task> tasks; // of this leadership
 };
--- a/src/coordination/ownership/OwnedEndpoints.cpp
+++ b/src/coordination/ownership/OwnedEndpoints.cpp
@@ -13,23 +13,23 @@
             continue;
         if (ring.endpointOwner(id, entry.record.description->failureDomain) != self)
             continue;
-        const auto before = this->since.find(id);
-        if (before == this->since.end())
+        const auto before = this->ownedSince.find(id);
+        if (before == this->ownedSince.end())
             change.gained.push_back(id);
-        next.emplace(id, before == this->since.end() ? now : before->second);
+        next.emplace(id, before == this->ownedSince.end() ? now : before->second);
     }
-    for (const auto &[id, start] : this->since) {
+    for (const auto &[id, start] : this->ownedSince) {
         if (!next.contains(id))
             change.lost.push_back(id);
     }
-    this->since = std::move(next);
+    this->ownedSince = std::move(next);
     return change;
 }
 
 bool OwnedEndpoints::isSettled(const state::EndpointId &endpoint, state::Instant now) const
 {
-    const auto found = this->since.find(endpoint);
-    return found != this->since.end() && now - found->second >= this->settleTime;
+    const auto found = this->ownedSince.find(endpoint);
+    return found != this->ownedSince.end() && now - found->second >= this->settleTime;
 }
 
 } // namespace lavenderthread::coordination::ownership
--- a/src/coordination/ownership/OwnedEndpoints.h
+++ b/src/coordination/ownership/OwnedEndpoints.h
@@ -29,13 +29,16 @@
     // Recomputes the owned endpoints and returns the difference to the last call.
     OwnershipChange update(const state::VmId &self, const OwnerRing &ring,
                            const endpoints::EndpointTable &table, state::Instant now);
-    bool owns(const state::EndpointId &endpoint) const { return this->since.contains(endpoint); }
+    bool owns(const state::EndpointId &endpoint) const
+    {
+        return this->ownedSince.contains(endpoint);
+    }
     // Whether the endpoint has been owned for long enough that every live holder has renewed here.
     bool isSettled(const state::EndpointId &endpoint, state::Instant now) const;
 
 private:
     state::Duration settleTime; // longer than two renewal intervals of the holders
-    std::map<state::EndpointId, state::Instant> since;
+    std::map<state::EndpointId, state::Instant> ownedSince;
 };
 
 } // namespace lavenderthread::coordination::ownership
--- a/src/coordination/ownership/OwnerRing.cpp
+++ b/src/coordination/ownership/OwnerRing.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-OwnerRing OwnerRing::of(const membership::MemberTable &members)
+OwnerRing OwnerRing::fromMembers(const membership::MemberTable &members)
 {
     OwnerRing ring;
     for (const auto &[id, entry] : members.entries()) {
@@ -39,10 +39,10 @@
         if (!record.isLive() || record.phase != membership::MemberPhase::Serving)
             continue;
         const RankedMember ranked{rendezvousHash(id.value()), id};
-        ring.all.push_back(ranked);
+        ring.rankedMembers.push_back(ranked);
         ring.byRegion[record.description->region].push_back(ranked);
     }
-    std::sort(ring.all.begin(), ring.all.end());
+    std::sort(ring.rankedMembers.begin(), ring.rankedMembers.end());
     return ring;
 }
 
@@ -56,22 +56,23 @@
         if (members != this->byRegion.end())
             return highestWeighted(members->second, key);
     }
-    return highestWeighted(this->all, key);
+    return highestWeighted(this->rankedMembers, key);
 }
 
 state::VmId OwnerRing::quotaBroker(const state::ClientAccountId &account) const
 {
-    return highestWeighted(this->all, rendezvousHash(account.value()) ^ accountSalt);
+    return highestWeighted(this->rankedMembers, rendezvousHash(account.value()) ^ accountSalt);
 }
 
 std::vector<state::VmId> OwnerRing::watchersOf(const state::VmId &home, std::size_t replicas) const
 {
-    const std::size_t members = this->all.size();
+    const std::size_t members = this->rankedMembers.size();
     if (members < 2 || replicas == 0)
         return {};
     const RankedMember own{rendezvousHash(home.value()), home};
-    const auto lower = std::lower_bound(this->all.begin(), this->all.end(), own);
-    const auto position = static_cast<std::size_t>(lower - this->all.begin());
+    const auto lower =
+            std::lower_bound(this->rankedMembers.begin(), this->rankedMembers.end(), own);
+    const auto position = static_cast<std::size_t>(lower - this->rankedMembers.begin());
     const std::size_t desired = (watchedReplicas * members + replicas - 1) / replicas;
     const std::size_t count = std::min(std::max<std::size_t>(desired, 1), members - 1);
     // Powers of two come first: if all watchers were direct neighbours, adjacent entry nodes on the
@@ -85,7 +86,7 @@
     }
     std::vector<state::VmId> watchers;
     for (std::size_t index = 0; index < count; ++index)
-        watchers.push_back(this->all[(position + distances[index]) % members].id);
+        watchers.push_back(this->rankedMembers[(position + distances[index]) % members].id);
     return watchers;
 }
 
--- a/src/coordination/ownership/OwnerRing.h
+++ b/src/coordination/ownership/OwnerRing.h
@@ -31,7 +31,7 @@
 {
 public:
     OwnerRing() = default;
-    static OwnerRing of(const membership::MemberTable &members);
+    static OwnerRing fromMembers(const membership::MemberTable &members);
 
     // Prefers members of the endpoint's region, so that a network partition between regions leaves
     // the owner on the endpoint's side. Empty if there are no members.
@@ -47,7 +47,7 @@
     bool operator==(const OwnerRing &) const = default;
 
 private:
-    std::vector<RankedMember> all; // ordered by hash
+    std::vector<RankedMember> rankedMembers; // ordered by hash
     std::map<state::Region, std::vector<RankedMember>> byRegion;
     std::map<state::FailureDomain, state::Region> regionOf;
 };
--- a/src/coordination/quota/QuotaAsking.cpp
+++ b/src/coordination/quota/QuotaLoanRequests.cpp
@@ -29,65 +29,69 @@
 std::vector<OutgoingQuotaMessage> QuotaNode::tick(Instant now)
 {
     Outbox outbox;
-    this->endRecoveryIfKnown(now);
+    this->endRecoveryIfComplete(now);
     if (this->recovering)
-        this->sayHello(outbox, now);
-    this->refillAsks(now);
+        this->requestStatements(outbox, now);
+    this->refillLoanRequestBudget(now);
     // Round robin, starting after the account that sent the last loan request. Otherwise the same
     // accounts would always use up a small budget of loan requests.
-    std::vector<QuotaKey> keys(this->active.upper_bound(this->askedLast), this->active.end());
-    keys.insert(keys.end(), this->active.begin(), this->active.upper_bound(this->askedLast));
+    std::vector<QuotaKey> keys(this->activeAccounts.upper_bound(this->lastRequestingAccount),
+                               this->activeAccounts.end());
+    keys.insert(keys.end(), this->activeAccounts.begin(),
+                this->activeAccounts.upper_bound(this->lastRequestingAccount));
     for (const QuotaKey key : keys)
         this->tickAccount(key, outbox, now);
     return collect(std::move(outbox));
 }
 
-void QuotaNode::refillAsks(Instant now)
+void QuotaNode::refillLoanRequestBudget(Instant now)
 {
-    const double elapsed = std::chrono::duration<double>(now - this->asksFilledTo).count();
-    this->asksFilledTo = now;
-    this->asksLeft = std::min(this->asksLeft + elapsed * this->settings.asksPerSecond,
-                              static_cast<double>(this->settings.asksAtOnce));
+    const double elapsed =
+            std::chrono::duration<double>(now - this->loanRequestBudgetFilledUntil).count();
+    this->loanRequestBudgetFilledUntil = now;
+    this->loanRequestBudget =
+            std::min(this->loanRequestBudget + elapsed * this->settings.loanRequestsPerSecond,
+                     static_cast<double>(this->settings.loanRequestBurst));
 }
 
 void QuotaNode::tickAccount(QuotaKey key, Outbox &outbox, Instant now)
 {
     Account &account = this->accounts.at(key);
-    account.bucket.settle(account.rate.ledger, now);
+    account.bucket.fill(account.rate.ledger, now);
     account.slots.ledger.dropExpired(now);
     account.rate.ledger.dropExpired(now);
-    const Need slotNeed = this->slotNeed(account, now);
-    const Need rateNeed = this->rateNeed(account, now);
-    this->planAsks(key, account.homes, account.slots, slotNeed, outbox, now);
-    this->planAsks(key, account.homes, account.rate, rateNeed, outbox, now);
-    account.bucket.settle(account.rate.ledger, now);
+    const LoanNeed slotNeed = this->slotNeed(account, now);
+    const LoanNeed rateNeed = this->rateNeed(account, now);
+    this->updateLoans(key, account.homes, account.slots, slotNeed, outbox, now);
+    this->updateLoans(key, account.homes, account.rate, rateNeed, outbox, now);
+    account.bucket.fill(account.rate.ledger, now);
     const bool idle = slotNeed.units == 0 && rateNeed.units == 0
                       && !account.slots.ledger.hasOpenLoans(now)
                       && !account.rate.ledger.hasOpenLoans(now);
     if (idle)
-        this->active.erase(key);
+        this->activeAccounts.erase(key);
 }
 
-QuotaNode::Need QuotaNode::slotNeed(const Account &account, Instant now) const
+QuotaNode::LoanNeed QuotaNode::slotNeed(const Account &account, Instant now) const
 {
-    Need need;
+    LoanNeed need;
     if (account.slots.limit == 0)
         return need;
     const std::uint64_t own = account.slots.ledger.usableOwn(now);
     const std::uint64_t running = account.pool.running();
     need.units = saturatingSubtract(running + account.demand.waitingRequests, own);
-    need.keep = need.units;
+    need.keepUpTo = need.units;
     need.inUse = saturatingSubtract(running, own);
-    need.lastsUntil = account.pool.latestOnBorrowed(own, now);
-    const Instant latest = std::max(need.lastsUntil, account.demand.latestDeadline);
+    need.neededUntil = account.pool.latestDeadlineOnBorrowed(own, now);
+    const Instant latest = std::max(need.neededUntil, account.demand.latestDeadline);
     const Duration left = lengthenedByDrift(lengthenedByDrift(latest - now)) + holdMargin;
     need.hold = std::min(std::max(left, this->settings.minimumHold), this->settings.maximumHold);
     return need;
 }
 
-QuotaNode::Need QuotaNode::rateNeed(const Account &account, Instant now) const
+QuotaNode::LoanNeed QuotaNode::rateNeed(const Account &account, Instant now) const
 {
-    Need need;
+    LoanNeed need;
     if (account.rate.limit == 0)
         return need;
     const std::uint64_t demand = account.demand.tokensPerSecond;
@@ -99,29 +103,30 @@
             > static_cast<double>(fillRate)
                       * std::chrono::duration<double>(this->settings.burst).count();
     need.units = bucketSuffices ? 0 : saturatingSubtract(demand, own);
-    need.keep = saturatingSubtract(demand + demand / rateSlackDivisor, own);
-    need.lastsUntil = now;
+    need.keepUpTo = saturatingSubtract(demand + demand / rateSlackDivisor, own);
+    need.neededUntil = now;
     need.hold = std::min(this->settings.minimumHold, this->settings.maximumHold);
     return need;
 }
 
-void QuotaNode::planAsks(QuotaKey key, const std::vector<std::uint16_t> &homes, Share &limitState,
-                         const Need &need, Outbox &outbox, Instant now)
+void QuotaNode::updateLoans(QuotaKey key, const std::vector<std::uint16_t> &homes,
+                            LimitState &limitState, const LoanNeed &need, Outbox &outbox,
+                            Instant now)
 {
     if (now >= limitState.nextRenewal) {
         // At multiples of the interval, so that renewals of all accounts share a message to a peer.
         const auto intervals = now.time_since_epoch() / this->settings.renewInterval + 1;
         limitState.nextRenewal = Instant(intervals * this->settings.renewInterval);
-        this->renew(key, limitState, need, outbox, now);
+        this->renewLoans(key, limitState, need, outbox, now);
     }
-    this->askMore(key, homes, limitState, need, outbox, now);
+    this->requestMore(key, homes, limitState, need, outbox, now);
 }
 
 // Renews all loans of one limit together and returns surplus units: first to homes that recall
 // them, then from the loans that end first. The remaining loans must outlast the requests that use
 // them.
-void QuotaNode::renew(QuotaKey key, Share &limitState, const Need &need, Outbox &outbox,
-                      Instant now)
+void QuotaNode::renewLoans(QuotaKey key, LimitState &limitState, const LoanNeed &need,
+                           Outbox &outbox, Instant now)
 {
     struct Held
     {
@@ -141,39 +146,40 @@
             continue;
         held.push_back({lender, loan.units, loan.until, loan.recalled});
         total += loan.units;
-        lasting += loan.until >= need.lastsUntil ? loan.units : 0;
+        lasting += loan.until >= need.neededUntil ? loan.units : 0;
     }
     std::sort(held.begin(), held.end(), [](const Held &left, const Held &right) {
         return std::pair(!left.recalled, left.until) < std::pair(!right.recalled, right.until);
     });
     for (Held &loan : held) {
         const std::uint64_t before = loan.units;
-        const bool lasts = loan.until >= need.lastsUntil;
+        const bool lasts = loan.until >= need.neededUntil;
         const std::uint64_t removable =
                 lasts ? std::min(loan.units, saturatingSubtract(lasting, need.inUse)) : loan.units;
         const std::uint64_t surplus =
-                loan.recalled ? loan.units : saturatingSubtract(total, need.keep);
+                loan.recalled ? loan.units : saturatingSubtract(total, need.keepUpTo);
         const std::uint64_t returned = std::min(removable, surplus);
         loan.units -= returned;
         total -= returned;
         lasting -= lasts ? returned : 0;
-        const LoanIn &known = limitState.ledger.loansHeld().at(loan.lender);
-        const bool unchanged = loan.units == before && !known.waiting && lasts
-                               && now < known.askedAt + this->settings.steadyRenewInterval;
+        const HeldLoan &known = limitState.ledger.loansHeld().at(loan.lender);
+        const bool unchanged = loan.units == before && !known.awaitsGrant && lasts
+                               && now < known.requestedAt + this->settings.steadyRenewInterval;
         if (!unchanged)
-            this->sendAsk(key, limitState, loan.lender, loan.units, need, outbox, now);
+            this->sendLoanRequest(key, limitState, loan.lender, loan.units, need, outbox, now);
     }
 }
 
 // Requests units from homes that reported spare units first, and the rest in equal amounts from all
 // candidates.
-void QuotaNode::askMore(QuotaKey key, const std::vector<std::uint16_t> &homes, Share &limitState,
-                        const Need &need, Outbox &outbox, Instant now)
+void QuotaNode::requestMore(QuotaKey key, const std::vector<std::uint16_t> &homes,
+                            LimitState &limitState, const LoanNeed &need, Outbox &outbox,
+                            Instant now)
 {
     const std::uint64_t held = limitState.ledger.borrowed(now);
     if (held >= need.units)
         return;
-    std::uint64_t missing = need.keep - held;
+    std::uint64_t missing = need.keepUpTo - held;
     struct Candidate
     {
         VmId lender;
@@ -190,18 +196,18 @@
             candidates.push_back({lender, 0, 0});
             continue;
         }
-        const LoanIn &loan = known->second;
-        const bool answered = !loan.waiting && loan.spareAtLender > 0;
+        const HeldLoan &loan = known->second;
+        const bool answered = !loan.awaitsGrant && loan.spareAtLender > 0;
         const Duration pause =
-                loan.waiting ? this->settings.answerTimeout : this->settings.retryInterval;
-        if (answered || now >= loan.askedAt + pause)
+                loan.awaitsGrant ? this->settings.answerTimeout : this->settings.retryInterval;
+        if (answered || now >= loan.requestedAt + pause)
             candidates.push_back({lender, loan.units, answered ? loan.spareAtLender : 0});
     }
     std::sort(
             candidates.begin(), candidates.end(),
             [](const Candidate &left, const Candidate &right) { return left.spare > right.spare; });
-    if (candidates.size() > this->settings.homesAskedAtOnce)
-        candidates.resize(this->settings.homesAskedAtOnce);
+    if (candidates.size() > this->settings.parallelRequestsPerLimit)
+        candidates.resize(this->settings.parallelRequestsPerLimit);
     std::uint64_t knownSpare = 0;
     for (const Candidate &candidate : candidates)
         knownSpare += candidate.spare;
@@ -212,26 +218,28 @@
         const std::uint64_t more = std::min(missing, candidate.spare + evenAmount);
         if (more == 0)
             continue;
-        if (this->asksLeft < 1)
+        if (this->loanRequestBudget < 1)
             return;
-        this->asksLeft -= 1;
-        this->askedLast = key;
+        this->loanRequestBudget -= 1;
+        this->lastRequestingAccount = key;
         missing -= more;
-        this->sendAsk(key, limitState, candidate.lender, candidate.held + more, need, outbox, now);
+        this->sendLoanRequest(key, limitState, candidate.lender, candidate.held + more, need,
+                              outbox, now);
     }
 }
 
-void QuotaNode::sendAsk(QuotaKey key, Share &limitState, const VmId &lender, std::uint64_t units,
-                        const Need &need, Outbox &outbox, Instant now)
+void QuotaNode::sendLoanRequest(QuotaKey key, LimitState &limitState, const VmId &lender,
+                                std::uint64_t units, const LoanNeed &need, Outbox &outbox,
+                                Instant now)
 {
     QuotaMessage &message = this->messageTo(lender, outbox);
     // A message has at most one loan request per limit; a later one of the same tick replaces it.
-    const QuotaAsk request =
-            limitState.ledger.ask(key, lender, units, this->nextSequence++, need.hold, now);
-    std::erase_if(message.asks, [&](const QuotaAsk &earlier) {
+    const LoanRequest request =
+            limitState.ledger.requestLoan(key, lender, units, this->nextSequence++, need.hold, now);
+    std::erase_if(message.loanRequests, [&](const LoanRequest &earlier) {
         return earlier.key == request.key && earlier.dimension == request.dimension;
     });
-    message.asks.push_back(request);
+    message.loanRequests.push_back(request);
 }
 
 } // namespace lavenderthread::coordination::quota
--- a/src/coordination/quota/QuotaNode.cpp
+++ b/src/coordination/quota/QuotaNode.cpp
@@ -1,4 +1,4 @@
-// Accounts, parts and messages of one entry. QuotaAsking.cpp decides on the loan requests.
+// Accounts, parts and messages of one entry. QuotaLoanRequests.cpp decides on the loan requests.
 #include "coordination/quota/QuotaNode.h"
 
 #include <algorithm>
@@ -18,8 +18,8 @@
     : self(std::move(self))
     , incarnation(incarnation)
     , settings(settings)
-    , asksLeft(settings.asksAtOnce)
-    , recoveredAt(start + lengthenedByDrift(settings.maximumHold))
+    , loanRequestBudget(settings.loanRequestBurst)
+    , recoveryEndsAt(start + lengthenedByDrift(settings.maximumHold))
 {}
 
 void QuotaNode::configure(const Roster &next, Duration age, Instant now)
@@ -27,13 +27,13 @@
     const bool first = this->roster.entries.empty();
     if (!first && next.version <= this->roster.version)
         return;
-    const Duration increaseDelay = std::max(this->settleTime() - age, Duration(0));
+    const Duration increaseDelay = std::max(this->handoverTime() - age, Duration(0));
     this->roster = next;
     for (const VmId &entry : next.entries) {
         if (first && entry != this->self)
-            this->unheard.insert(entry);
+            this->missingStatements.insert(entry);
     }
-    std::erase_if(this->unheard, [&](const VmId &entry) {
+    std::erase_if(this->missingStatements, [&](const VmId &entry) {
         return !std::binary_search(next.entries.begin(), next.entries.end(), entry);
     });
     for (const auto &[key, limits] : this->rows) {
@@ -42,7 +42,7 @@
     }
     for (auto &[key, account] : this->accounts)
         this->updateParts(key, account, increaseDelay, now);
-    this->endRecoveryIfKnown(now);
+    this->endRecoveryIfComplete(now);
 }
 
 void QuotaNode::setRow(const state::TableRow &row, Instant now)
@@ -51,8 +51,8 @@
     const QuotaLimits limits{row.inFlightLimit, row.tokensPerSecondLimit};
     const auto before = this->rows.find(key);
     const bool sameHomeCount =
-            before == this->rows.end() || this->splitsAlike(before->second, limits);
-    const Duration increaseDelay = sameHomeCount ? Duration(0) : this->settleTime();
+            before == this->rows.end() || this->hasSameHomeCount(before->second, limits);
+    const Duration increaseDelay = sameHomeCount ? Duration(0) : this->handoverTime();
     this->rows[key] = limits;
     const auto known = this->accounts.find(key);
     if (known != this->accounts.end())
@@ -63,13 +63,13 @@
 
 // The previous owner of a part may not know of the change yet, and its loans may still run. After
 // this time neither is possible, so the part is never used twice.
-Duration QuotaNode::settleTime() const
+Duration QuotaNode::handoverTime() const
 {
     return lengthenedByDrift(this->settings.rosterFreshness + this->settings.maximumHold);
 }
 
 // With an unchanged number of homes all parts grow or all shrink, and no units change the owner.
-bool QuotaNode::splitsAlike(const QuotaLimits &left, const QuotaLimits &right) const
+bool QuotaNode::hasSameHomeCount(const QuotaLimits &left, const QuotaLimits &right) const
 {
     const auto before = this->homeCountOf(left);
     return before == 0 || before == this->homeCountOf(right);
@@ -107,10 +107,10 @@
     };
     account.slots.limit = limits.inFlight;
     account.slots.ledger.setOwnPart(partOfLimit(limits.inFlight), increaseDelay, now);
-    account.bucket.settle(account.rate.ledger, now);
+    account.bucket.fill(account.rate.ledger, now);
     account.rate.limit = limits.tokensPerSecond;
     account.rate.ledger.setOwnPart(partOfLimit(limits.tokensPerSecond), increaseDelay, now);
-    account.bucket.settle(account.rate.ledger, now);
+    account.bucket.fill(account.rate.ledger, now);
 }
 
 QuotaLimits QuotaNode::limitsOf(QuotaKey key) const
@@ -137,19 +137,19 @@
     return homesOf(key, this->roster, this->homeCountOf(this->limitsOf(key)));
 }
 
-QuotaVerdict QuotaNode::tryStart(QuotaKey key, std::uint64_t tokens, Instant deadline, Instant now)
+QuotaResult QuotaNode::tryStart(QuotaKey key, std::uint64_t tokens, Instant deadline, Instant now)
 {
     Account &account = this->accountOf(key, Duration(0), now);
-    this->active.insert(key);
+    this->activeAccounts.insert(key);
     if (account.slots.limit == 0)
         account.pool.startUnlimited(deadline);
     else if (!account.pool.start(deadline, account.slots.ledger, now))
-        return QuotaVerdict::NoSlot;
+        return QuotaResult::NoSlot;
     if (account.rate.limit != 0 && !account.bucket.trySpend(tokens, account.rate.ledger, now)) {
         account.pool.finish(deadline);
-        return QuotaVerdict::NoTokens;
+        return QuotaResult::NoTokens;
     }
-    return QuotaVerdict::Started;
+    return QuotaResult::Started;
 }
 
 void QuotaNode::charge(QuotaKey key, std::uint64_t tokens, Instant now)
@@ -157,7 +157,7 @@
     Account &account = this->accountOf(key, Duration(0), now);
     if (account.rate.limit == 0)
         return;
-    account.bucket.settle(account.rate.ledger, now);
+    account.bucket.fill(account.rate.ledger, now);
     account.bucket.spend(tokens);
 }
 
@@ -174,13 +174,13 @@
     if (known == this->accounts.end())
         return;
     known->second.demand = demand;
-    this->active.insert(key);
+    this->activeAccounts.insert(key);
 }
 
 QuotaView QuotaNode::view(QuotaKey key, Instant now)
 {
     Account &account = this->accountOf(key, Duration(0), now);
-    account.bucket.settle(account.rate.ledger, now);
+    account.bucket.fill(account.rate.ledger, now);
     return QuotaView{account.slots.ledger.usableOwn(now),
                      account.slots.ledger.borrowed(now),
                      account.pool.running(),
@@ -192,16 +192,16 @@
 std::vector<OutgoingQuotaMessage> QuotaNode::receive(const QuotaMessage &message, Instant now)
 {
     Outbox outbox;
-    if (message.from == this->self || !this->greet(message, now))
+    if (message.from == this->self || !this->checkIncarnation(message, now))
         return {};
-    if (message.hello)
+    if (message.requestsStatement)
         this->writeStatement(message, outbox, now);
-    for (const QuotaAsk &request : message.asks)
-        this->answerAsk(message.from, request, outbox, now);
+    for (const LoanRequest &request : message.loanRequests)
+        this->answerLoanRequest(message.from, request, outbox, now);
     if (message.forIncarnation != this->incarnation)
         return collect(std::move(outbox));
-    if (message.statement)
-        this->adoptStatement(message, now);
+    if (message.isStatement)
+        this->applyStatement(message, now);
     for (const QuotaGrant &grant : message.grants)
         this->acceptGrant(message.from, grant, now);
     return collect(std::move(outbox));
@@ -209,7 +209,7 @@
 
 // Returns false for a message of an earlier process of the peer. The later process does not know
 // the grants of the earlier one and would lend the same units again.
-bool QuotaNode::greet(const QuotaMessage &message, Instant now)
+bool QuotaNode::checkIncarnation(const QuotaMessage &message, Instant now)
 {
     std::uint64_t &known = this->peerIncarnations[message.from];
     if (message.incarnation < known)
@@ -218,62 +218,62 @@
         return true;
     known = message.incarnation;
     for (auto &[key, account] : this->accounts) {
-        account.bucket.settle(account.rate.ledger, now);
-        account.slots.ledger.voidLoanTo(message.from);
-        account.rate.ledger.voidLoanTo(message.from);
+        account.bucket.fill(account.rate.ledger, now);
+        account.slots.ledger.cancelLoanTo(message.from);
+        account.rate.ledger.cancelLoanTo(message.from);
     }
     return true;
 }
 
-void QuotaNode::answerAsk(const VmId &borrower, const QuotaAsk &request, Outbox &outbox,
-                          Instant now)
+void QuotaNode::answerLoanRequest(const VmId &borrower, const LoanRequest &request, Outbox &outbox,
+                                  Instant now)
 {
     const auto known = this->accounts.find(request.key);
     if (known == this->accounts.end())
         return;
     Account &account = known->second;
-    account.bucket.settle(account.rate.ledger, now);
+    account.bucket.fill(account.rate.ledger, now);
     const auto grant = request.dimension == Dimension::InFlight
                                ? this->lendSlots(borrower, request, account, now)
                                : this->lendRate(borrower, request, account, now);
-    account.bucket.settle(account.rate.ledger, now);
+    account.bucket.fill(account.rate.ledger, now);
     if (grant)
         this->messageTo(borrower, outbox).grants.push_back(*grant);
 }
 
-std::optional<QuotaGrant> QuotaNode::lendSlots(const VmId &borrower, const QuotaAsk &request,
+std::optional<QuotaGrant> QuotaNode::lendSlots(const VmId &borrower, const LoanRequest &request,
                                                Account &account, Instant now)
 {
     PartLedger &ledger = account.slots.ledger;
     const std::uint64_t running = account.pool.running();
-    const std::uint64_t wanted = this->keptFrom(borrower, account, ledger.ownPart(now),
-                                                running + account.demand.waitingRequests);
-    auto grant = ledger.answer(borrower, request, std::max(running, wanted),
-                               this->settings.maximumHold, now);
+    const std::uint64_t wanted = this->unitsKeptFrom(borrower, account, ledger.ownPart(now),
+                                                     running + account.demand.waitingRequests);
+    auto grant = ledger.grantLoan(borrower, request, std::max(running, wanted),
+                                  this->settings.maximumHold, now);
     const std::uint64_t usable = ledger.usableOwn(now);
     const std::uint64_t kept = std::max(wanted, ledger.floor(now));
     if (!grant || grant->units >= request.units || kept >= usable)
         return grant;
     // Reported as spare, so that the borrower soon requests them and they are not idle for long.
     grant->spare = std::min(request.units - grant->units, usable - kept);
-    ledger.keepBack(grant->spare, now + this->settings.renewInterval);
+    ledger.reserveForBorrower(grant->spare, now + this->settings.renewInterval);
     return grant;
 }
 
-std::optional<QuotaGrant> QuotaNode::lendRate(const VmId &borrower, const QuotaAsk &request,
+std::optional<QuotaGrant> QuotaNode::lendRate(const VmId &borrower, const LoanRequest &request,
                                               Account &account, Instant now)
 {
     PartLedger &ledger = account.rate.ledger;
-    const std::uint64_t wanted =
-            this->keptFrom(borrower, account, ledger.ownPart(now), account.demand.tokensPerSecond);
-    return ledger.answer(borrower, request, wanted,
-                         std::min(this->settings.minimumHold, this->settings.maximumHold), now);
+    const std::uint64_t wanted = this->unitsKeptFrom(borrower, account, ledger.ownPart(now),
+                                                     account.demand.tokensPerSecond);
+    return ledger.grantLoan(borrower, request, wanted,
+                            std::min(this->settings.minimumHold, this->settings.maximumHold), now);
 }
 
 // Returns the units that a home keeps for its own callers. An entry that is not a home has no part
 // and would starve while all homes are busy, so a quarter of each part is available to it.
-std::uint64_t QuotaNode::keptFrom(const VmId &borrower, const Account &account, std::uint64_t part,
-                                  std::uint64_t ownDemand) const
+std::uint64_t QuotaNode::unitsKeptFrom(const VmId &borrower, const Account &account,
+                                       std::uint64_t part, std::uint64_t ownDemand) const
 {
     const auto place =
             std::find(account.homes.begin(), account.homes.end(), this->positionOf(borrower));
@@ -287,53 +287,54 @@
     if (known == this->accounts.end())
         return;
     Account &account = known->second;
-    account.bucket.settle(account.rate.ledger, now);
-    Share &limitState = grant.dimension == Dimension::InFlight ? account.slots : account.rate;
-    limitState.ledger.accept(lender, grant, now);
+    account.bucket.fill(account.rate.ledger, now);
+    LimitState &limitState = grant.dimension == Dimension::InFlight ? account.slots : account.rate;
+    limitState.ledger.acceptGrant(lender, grant, now);
 }
 
 void QuotaNode::writeStatement(const QuotaMessage &request, Outbox &outbox, Instant now)
 {
     QuotaMessage &answer = this->messageTo(request.from, outbox);
-    answer.statement = true;
+    answer.isStatement = true;
     for (const auto &[key, account] : this->accounts) {
-        for (const Share *limitState : {&account.slots, &account.rate}) {
+        for (const LimitState *limitState : {&account.slots, &account.rate}) {
             if (const auto holding = limitState->ledger.holdingOf(key, request.from, now))
                 answer.holdings.push_back(*holding);
         }
     }
 }
 
-void QuotaNode::adoptStatement(const QuotaMessage &message, Instant now)
+void QuotaNode::applyStatement(const QuotaMessage &message, Instant now)
 {
-    if (!this->recovering || this->unheard.erase(message.from) == 0)
+    if (!this->recovering || this->missingStatements.erase(message.from) == 0)
         return;
     for (const QuotaHolding &holding : message.holdings) {
         Account &account = this->accountOf(holding.key, Duration(0), now);
-        Share &limitState = holding.dimension == Dimension::InFlight ? account.slots : account.rate;
-        limitState.ledger.adopt(message.from, holding, now);
+        LimitState &limitState =
+                holding.dimension == Dimension::InFlight ? account.slots : account.rate;
+        limitState.ledger.restoreLoan(message.from, holding, now);
     }
-    this->endRecoveryIfKnown(now);
+    this->endRecoveryIfComplete(now);
 }
 
-void QuotaNode::sayHello(Outbox &outbox, Instant now)
+void QuotaNode::requestStatements(Outbox &outbox, Instant now)
 {
-    if (now < this->nextHello)
+    if (now < this->nextStatementRequest)
         return;
-    this->nextHello = now + this->settings.renewInterval;
-    for (const VmId &peer : this->unheard)
-        this->messageTo(peer, outbox).hello = true;
+    this->nextStatementRequest = now + this->settings.renewInterval;
+    for (const VmId &peer : this->missingStatements)
+        this->messageTo(peer, outbox).requestsStatement = true;
 }
 
-void QuotaNode::endRecoveryIfKnown(Instant now)
+void QuotaNode::endRecoveryIfComplete(Instant now)
 {
-    const bool known = !this->roster.entries.empty() && this->unheard.empty();
-    if (!this->recovering || (!known && now < this->recoveredAt))
+    const bool known = !this->roster.entries.empty() && this->missingStatements.empty();
+    if (!this->recovering || (!known && now < this->recoveryEndsAt))
         return;
     this->recovering = false;
-    this->unheard.clear();
+    this->missingStatements.clear();
     for (auto &[key, account] : this->accounts) {
-        account.bucket.settle(account.rate.ledger, now);
+        account.bucket.fill(account.rate.ledger, now);
         account.slots.ledger.setRecovering(false);
         account.rate.ledger.setRecovering(false);
     }
--- a/src/coordination/quota/QuotaNode.h
+++ b/src/coordination/quota/QuotaNode.h
@@ -34,7 +34,7 @@
     auto operator<=>(const QuotaDemand &) const = default;
 };
 
-enum class QuotaVerdict { Started, NoSlot, NoTokens };
+enum class QuotaResult { Started, NoSlot, NoTokens };
 
 // One account at one entry, for status pages and tests.
 struct QuotaView
@@ -62,8 +62,8 @@
     void removeRow(const state::TableKey &key, state::Instant now);
 
     // Takes a slot until finish, and spends the tokens. A row without limits always starts.
-    QuotaVerdict tryStart(QuotaKey key, std::uint64_t tokens, state::Instant deadline,
-                          state::Instant now);
+    QuotaResult tryStart(QuotaKey key, std::uint64_t tokens, state::Instant deadline,
+                         state::Instant now);
     // Spends tokens beyond those given to tryStart, as they are generated.
     void charge(QuotaKey key, std::uint64_t tokens, state::Instant now);
     // `deadline`: the same as for tryStart.
@@ -77,13 +77,13 @@
     std::vector<state::VmId> homes(QuotaKey key) const;
     QuotaView view(QuotaKey key, state::Instant now);
     bool isRecovering() const { return this->recovering; }
-    std::size_t accountsHeld() const { return this->accounts.size(); }
+    std::size_t accountCount() const { return this->accounts.size(); }
 
 private:
     // The state of one limit of one account.
-    struct Share
+    struct LimitState
     {
-        explicit Share(Dimension dimension)
+        explicit LimitState(Dimension dimension)
             : ledger(dimension)
         {}
 
@@ -99,62 +99,63 @@
         {}
 
         std::vector<std::uint16_t> homes; // positions in the roster
-        Share slots{Dimension::InFlight};
-        Share rate{Dimension::TokenRate};
+        LimitState slots{Dimension::InFlight};
+        LimitState rate{Dimension::TokenRate};
         SlotPool pool;
         TokenBucket bucket;
         QuotaDemand demand;
     };
 
     // The loans that a limit needs, and which of them can't be returned.
-    struct Need
+    struct LoanNeed
     {
-        std::uint64_t units = 0;   // to be borrowed
-        std::uint64_t keep = 0;    // loans up to this are not returned; at least `units`
-        std::uint64_t inUse = 0;   // borrowed units with running requests
-        state::Instant lastsUntil; // latest deadline on the units in use
-        state::Duration hold{0};   // duration to request
+        std::uint64_t units = 0;    // to be borrowed
+        std::uint64_t keepUpTo = 0; // loans up to this are not returned; at least `units`
+        std::uint64_t inUse = 0;    // borrowed units with running requests
+        state::Instant neededUntil; // latest deadline on the units in use
+        state::Duration hold{0};    // duration to request
     };
 
     using Outbox = std::map<state::VmId, QuotaMessage>;
 
     Account &accountOf(QuotaKey key, state::Duration increaseDelay, state::Instant now);
-    state::Duration settleTime() const;
-    bool splitsAlike(const QuotaLimits &left, const QuotaLimits &right) const;
+    state::Duration handoverTime() const;
+    bool hasSameHomeCount(const QuotaLimits &left, const QuotaLimits &right) const;
     void updateParts(QuotaKey key, Account &account, state::Duration increaseDelay,
                      state::Instant now);
     std::uint32_t homeCountOf(const QuotaLimits &limits) const;
     QuotaLimits limitsOf(QuotaKey key) const;
     std::uint16_t positionOf(const state::VmId &entry) const;
-    std::uint64_t keptFrom(const state::VmId &borrower, const Account &account, std::uint64_t part,
-                           std::uint64_t ownDemand) const;
+    std::uint64_t unitsKeptFrom(const state::VmId &borrower, const Account &account,
+                                std::uint64_t part, std::uint64_t ownDemand) const;
     bool isHome(QuotaKey key, const QuotaLimits &limits) const;
 
     void tickAccount(QuotaKey key, Outbox &outbox, state::Instant now);
-    void refillAsks(state::Instant now);
-    Need slotNeed(const Account &account, state::Instant now) const;
-    Need rateNeed(const Account &account, state::Instant now) const;
-    void planAsks(QuotaKey key, const std::vector<std::uint16_t> &homes, Share &limitState,
-                  const Need &need, Outbox &outbox, state::Instant now);
-    void renew(QuotaKey key, Share &limitState, const Need &need, Outbox &outbox,
-               state::Instant now);
-    void askMore(QuotaKey key, const std::vector<std::uint16_t> &homes, Share &limitState,
-                 const Need &need, Outbox &outbox, state::Instant now);
-    void sendAsk(QuotaKey key, Share &limitState, const state::VmId &lender, std::uint64_t units,
-                 const Need &need, Outbox &outbox, state::Instant now);
-
-    bool greet(const QuotaMessage &message, state::Instant now);
-    void answerAsk(const state::VmId &borrower, const QuotaAsk &request, Outbox &outbox,
-                   state::Instant now);
-    std::optional<QuotaGrant> lendSlots(const state::VmId &borrower, const QuotaAsk &request,
+    void refillLoanRequestBudget(state::Instant now);
+    LoanNeed slotNeed(const Account &account, state::Instant now) const;
+    LoanNeed rateNeed(const Account &account, state::Instant now) const;
+    void updateLoans(QuotaKey key, const std::vector<std::uint16_t> &homes, LimitState &limitState,
+                     const LoanNeed &need, Outbox &outbox, state::Instant now);
+    void renewLoans(QuotaKey key, LimitState &limitState, const LoanNeed &need, Outbox &outbox,
+                    state::Instant now);
+    void requestMore(QuotaKey key, const std::vector<std::uint16_t> &homes, LimitState &limitState,
+                     const LoanNeed &need, Outbox &outbox, state::Instant now);
+    void sendLoanRequest(QuotaKey key, LimitState &limitState, const state::VmId &lender,
+                         std::uint64_t units, const LoanNeed &need, Outbox &outbox,
+                         state::Instant now);
+
+    bool checkIncarnation(const QuotaMessage &message, state::Instant now);
+    void answerLoanRequest(const state::VmId &borrower, const LoanRequest &request, Outbox &outbox,
+                           state::Instant now);
+    std::optional<QuotaGrant> lendSlots(const state::VmId &borrower, const LoanRequest &request,
                                         Account &account, state::Instant now);
-    std::optional<QuotaGrant> lendRate(const state::VmId &borrower, const QuotaAsk &request,
+    std::optional<QuotaGrant> lendRate(const state::VmId &borrower, const LoanRequest &request,
                                        Account &account, state::Instant now);
     void acceptGrant(const state::VmId &lender, const QuotaGrant &grant, state::Instant now);
-    void adoptStatement(const QuotaMessage &message, state::Instant now);
+    void applyStatement(const QuotaMessage &message, state::Instant now);
     void writeStatement(const QuotaMessage &request, Outbox &outbox, state::Instant now);
-    void sayHello(Outbox &outbox, state::Instant now);
-    void endRecoveryIfKnown(state::Instant now);
+    void requestStatements(Outbox &outbox, state::Instant now);
+    void endRecoveryIfComplete(state::Instant now);
     QuotaMessage &messageTo(const state::VmId &peer, Outbox &outbox) const;
     static std::vector<OutgoingQuotaMessage> collect(Outbox outbox);
 
@@ -165,10 +166,10 @@
     std::unordered_map<QuotaKey, QuotaLimits> rows; // the whole table
     // Only accounts of which this entry is a home, or that have had requests here.
     std::unordered_map<QuotaKey, Account> accounts;
-    std::set<QuotaKey> active; // accounts that tick processes
-    QuotaKey askedLast = 0;    // round-robin position over the accounts
-    double asksLeft;
-    state::Instant asksFilledTo{};
+    std::set<QuotaKey> activeAccounts;  // accounts that tick processes
+    QuotaKey lastRequestingAccount = 0; // round-robin position over the accounts
+    double loanRequestBudget;
+    state::Instant loanRequestBudgetFilledUntil{};
     std::uint64_t nextSequence = 1;
     std::map<state::VmId, std::uint64_t> peerIncarnations; // highest seen of each peer
 
@@ -176,9 +177,9 @@
     // and spends only its floors until every entry of the roster has stated what it holds, or until
     // all loans have expired.
     bool recovering = true;
-    state::Instant recoveredAt;
-    std::set<state::VmId> unheard;
-    state::Instant nextHello{};
+    state::Instant recoveryEndsAt;
+    std::set<state::VmId> missingStatements;
+    state::Instant nextStatementRequest{};
 };
 
 } // namespace lavenderthread::coordination::quota
--- a/src/coordination/quota/QuotaTypes.h
+++ b/src/coordination/quota/QuotaTypes.h
@@ -53,11 +53,11 @@
     // Rate and burst of requests for additional units that an entry sends, over all its accounts.
     // In a large fleet thousands of small accounts have short peaks; this bounds the message cost.
     // Accounts that wait for it are served in turn.
-    std::uint32_t asksPerSecond = 8;
-    std::uint32_t asksAtOnce = 64;
+    std::uint32_t loanRequestsPerSecond = 8;
+    std::uint32_t loanRequestBurst = 64;
     // Most homes that get a loan request for one limit at the same time. Those that are not known
     // to have spare units may have none.
-    std::uint32_t homesAskedAtOnce = 6;
+    std::uint32_t parallelRequestsPerLimit = 6;
     // An entry that lost its part by a change of the roster learns of it within this time, or
     // admits nothing because its table is not confirmed fresh.
     state::Duration rosterFreshness = std::chrono::seconds(12);
@@ -68,23 +68,23 @@
 
 // The clock rates of two VMs differ by less than 1/clockDriftDivisor. The borrower shortens the
 // duration of a loan by that and the lender lengthens it, so they never use the same units at once.
-constexpr std::int64_t clockDriftParts = 64;
+constexpr std::int64_t clockDriftDivisor = 64;
 
 constexpr state::Duration shortenedByDrift(state::Duration length)
 {
-    return length - length / clockDriftParts;
+    return length - length / clockDriftDivisor;
 }
 
 constexpr state::Duration lengthenedByDrift(state::Duration length)
 {
-    return length + length / clockDriftParts + state::Duration(1);
+    return length + length / clockDriftDivisor + state::Duration(1);
 }
 
 // Serializes a list with a length of two bytes. Most messages carry one or two elements, and
 // cereal's lengths of eight bytes made up a sixth of them. The short length also bounds the memory
 // that a malicious message can make the receiver allocate.
 template <typename Archive, typename Value>
-void serializeShort(Archive &archive, std::vector<Value> &values)
+void serializeWithShortLength(Archive &archive, std::vector<Value> &values)
 {
     auto count = static_cast<std::uint16_t>(std::min<std::size_t>(values.size(), 0xffff));
     archive(count);
@@ -95,7 +95,7 @@
 
 // Borrower to home: the total that it wants to hold of that home's part. Less than it holds returns
 // the rest, which it stopped using before it sent this.
-struct QuotaAsk
+struct LoanRequest
 {
     QuotaKey key = 0;
     Dimension dimension = Dimension::InFlight;
@@ -103,7 +103,7 @@
     std::uint64_t units = 0;
     std::uint32_t holdMilliseconds = 0;
 
-    auto operator<=>(const QuotaAsk &) const = default;
+    auto operator<=>(const LoanRequest &) const = default;
 
     template <typename Archive>
     void serialize(Archive &archive)
@@ -159,10 +159,10 @@
     // Of the receiver, as the sender knows it. Grants and statements for an earlier process are
     // dropped: its successor may have sent requests with the same sequence numbers.
     std::uint64_t forIncarnation = 0;
-    bool hello = false;     // the sender lost its records and requests a statement
-    bool statement = false; // `holdings` is all that the sender borrows from the receiver
+    bool requestsStatement = false; // the sender lost its records and requests a statement
+    bool isStatement = false;       // `holdings` is all that the sender borrows from the receiver
     std::vector<QuotaHolding> holdings;
-    std::vector<QuotaAsk> asks;
+    std::vector<LoanRequest> loanRequests;
     std::vector<QuotaGrant> grants;
 
     auto operator<=>(const QuotaMessage &) const = default;
@@ -170,10 +170,11 @@
     template <typename Archive>
     void serialize(Archive &archive)
     {
-        archive(this->from, this->incarnation, this->forIncarnation, this->hello, this->statement);
-        serializeShort(archive, this->holdings);
-        serializeShort(archive, this->asks);
-        serializeShort(archive, this->grants);
+        archive(this->from, this->incarnation, this->forIncarnation, this->requestsStatement,
+                this->isStatement);
+        serializeWithShortLength(archive, this->holdings);
+        serializeWithShortLength(archive, this->loanRequests);
+        serializeWithShortLength(archive, this->grants);
     }
 };
 
--- a/src/coordination/quota/ShareNode.cpp
+++ b/src/coordination/quota/ShareNode.cpp
@@ -34,29 +34,29 @@
 void ShareNode::setBacklog(QuotaKey key, std::uint32_t weight, Instant now)
 {
     if (weight == 0) {
-        this->reported.erase(key);
+        this->localReports.erase(key);
         return;
     }
-    Reported fresh;
-    fresh.since = now;
-    this->reported.try_emplace(fleetKey, fresh);
-    this->reported.try_emplace(key, fresh).first->second.weight = weight;
+    LocalReport fresh;
+    fresh.backlogSince = now;
+    this->localReports.try_emplace(totalWeightKey, fresh);
+    this->localReports.try_emplace(key, fresh).first->second.weight = weight;
 }
 
 std::vector<OutgoingShareMessage> ShareNode::tick(Instant now)
 {
     std::map<VmId, ShareMessage> outbox;
-    if (this->live.empty())
+    if (this->liveEntries.empty())
         return {};
-    for (auto &[key, entry] : this->reported) {
+    for (auto &[key, entry] : this->localReports) {
         if (now < entry.nextReport)
             continue;
-        const bool inFastStart = now < entry.since + fastStart;
+        const bool inFastStart = now < entry.backlogSince + fastStart;
         entry.nextReport = now + (inFastStart ? Duration(0) : entry.interval);
         const ShareReport report{key, this->valueOf(key, entry)};
         const VmId &broker = this->brokerOf(key);
         if (broker == this->self)
-            this->hear(this->contribute(this->self, report, now), now);
+            this->receiveSum(this->addReport(this->self, report, now), now);
         else
             outbox[broker].reports.push_back(report);
     }
@@ -71,20 +71,20 @@
 std::vector<OutgoingShareMessage> ShareNode::receive(const ShareMessage &message, Instant now)
 {
     for (const ShareSum &sum : message.sums)
-        this->hear(sum, now);
+        this->receiveSum(sum, now);
     if (message.reports.empty())
         return {};
     ShareMessage answer;
     answer.from = this->self;
     for (const ShareReport &report : message.reports)
-        answer.sums.push_back(this->contribute(message.from, report, now));
+        answer.sums.push_back(this->addReport(message.from, report, now));
     return {{message.from, std::move(answer)}};
 }
 
-double ShareNode::weightHere(QuotaKey key) const
+double ShareNode::localWeight(QuotaKey key) const
 {
-    const auto found = this->reported.find(key);
-    if (found == this->reported.end())
+    const auto found = this->localReports.find(key);
+    if (found == this->localReports.end())
         return 0;
     const auto others = std::max<std::uint64_t>(found->second.sum, 1);
     return static_cast<double>(found->second.weight) / static_cast<double>(others);
@@ -92,9 +92,9 @@
 
 double ShareNode::fleetShare() const
 {
-    const auto found = this->reported.find(fleetKey);
-    if (found == this->reported.end() || found->second.sum == 0)
-        return this->live.empty() ? 1 : 1 / static_cast<double>(this->live.size());
+    const auto found = this->localReports.find(totalWeightKey);
+    if (found == this->localReports.end() || found->second.sum == 0)
+        return this->liveEntries.empty() ? 1 : 1 / static_cast<double>(this->liveEntries.size());
     const double all = static_cast<double>(found->second.sum) / weightUnit;
     return std::min(1.0, this->waitingWeight() / all);
 }
@@ -105,13 +105,13 @@
         return XXH64(entry.value().data(), entry.value().size(), ~key);
     };
     return *std::max_element(
-            this->live.begin(), this->live.end(),
+            this->liveEntries.begin(), this->liveEntries.end(),
             [&](const VmId &left, const VmId &right) { return score(left) < score(right); });
 }
 
-std::uint32_t ShareNode::valueOf(QuotaKey key, const Reported &entry) const
+std::uint32_t ShareNode::valueOf(QuotaKey key, const LocalReport &entry) const
 {
-    if (key == fleetKey)
+    if (key == totalWeightKey)
         return static_cast<std::uint32_t>(this->waitingWeight() * weightUnit);
     return entry.weight > 0 ? 1 : 0;
 }
@@ -119,17 +119,17 @@
 double ShareNode::waitingWeight() const
 {
     double sum = 0;
-    for (const auto &[key, entry] : this->reported)
-        sum += key == fleetKey ? 0 : this->weightHere(key);
+    for (const auto &[key, entry] : this->localReports)
+        sum += key == totalWeightKey ? 0 : this->localWeight(key);
     return sum;
 }
 
-ShareSum ShareNode::contribute(const VmId &from, const ShareReport &report, Instant now)
+ShareSum ShareNode::addReport(const VmId &from, const ShareReport &report, Instant now)
 {
-    Brokered &entry = this->brokered[report.key];
+    BrokerState &entry = this->brokerStates[report.key];
     std::erase_if(entry.contributions, [&](const auto &known) { return known.second.until < now; });
     if (entry.contributions.empty())
-        entry.since = now;
+        entry.firstReportAt = now;
     const Duration interval = intervalFor(entry.contributions.size() + 1);
     entry.contributions[from] = {report.value, now + intervalsToExpiry * interval};
     ShareSum sum;
@@ -138,25 +138,25 @@
         sum.sum += contribution.value;
     sum.reporters = static_cast<std::uint16_t>(entry.contributions.size());
     // Every entry reports once per interval, so a new broker has all reports after two at most.
-    sum.settled = now >= entry.since + 2 * interval;
+    sum.complete = now >= entry.firstReportAt + 2 * interval;
     return sum;
 }
 
-void ShareNode::hear(const ShareSum &sum, Instant now)
+void ShareNode::receiveSum(const ShareSum &sum, Instant now)
 {
-    const auto found = this->reported.find(sum.key);
-    if (found == this->reported.end())
+    const auto found = this->localReports.find(sum.key);
+    if (found == this->localReports.end())
         return;
-    Reported &entry = found->second;
+    LocalReport &entry = found->second;
     entry.interval = intervalFor(sum.reporters);
     // A broker that just took over has few reports. Its sum would make each reporter claim nearly
     // the whole share; the last complete sum is closer.
-    const bool known = entry.settled && now < entry.heardAt + completeSumLifetime;
-    if (!sum.settled && known && sum.sum < entry.sum)
+    const bool known = entry.complete && now < entry.sumReceivedAt + completeSumLifetime;
+    if (!sum.complete && known && sum.sum < entry.sum)
         return;
-    entry.settled = sum.settled;
+    entry.complete = sum.complete;
     entry.sum = sum.sum;
-    entry.heardAt = now;
+    entry.sumReceivedAt = now;
 }
 
 } // namespace lavenderthread::coordination::quota
--- a/src/coordination/quota/ShareNode.h
+++ b/src/coordination/quota/ShareNode.h
@@ -16,7 +16,7 @@
 namespace lavenderthread::coordination::quota {
 
 // Key of the sum of all waiting weight; every other key is that of an account.
-constexpr QuotaKey fleetKey = 0;
+constexpr QuotaKey totalWeightKey = 0;
 
 struct ShareReport
 {
@@ -37,14 +37,14 @@
     QuotaKey key = 0;
     std::uint64_t sum = 0;
     std::uint16_t reporters = 0;
-    bool settled = false; // all entries have reported since the broker took over
+    bool complete = false; // all entries have reported since the broker took over
 
     auto operator<=>(const ShareSum &) const = default;
 
     template <typename Archive>
     void serialize(Archive &archive)
     {
-        archive(this->key, this->sum, this->reporters, this->settled);
+        archive(this->key, this->sum, this->reporters, this->complete);
     }
 };
 
@@ -60,8 +60,8 @@
     void serialize(Archive &archive)
     {
         archive(this->from);
-        serializeShort(archive, this->reports);
-        serializeShort(archive, this->sums);
+        serializeWithShortLength(archive, this->reports);
+        serializeWithShortLength(archive, this->sums);
     }
 };
 
@@ -80,7 +80,10 @@
         : self(std::move(self))
     {}
 
-    void setLive(std::vector<state::VmId> entries) { this->live = std::move(entries); }
+    void setLiveEntries(std::vector<state::VmId> entries)
+    {
+        this->liveEntries = std::move(entries);
+    }
     // `weight`: 0 if the account has no backlog here.
     void setBacklog(QuotaKey key, std::uint32_t weight, state::Instant now);
 
@@ -88,19 +91,19 @@
     std::vector<OutgoingShareMessage> receive(const ShareMessage &message, state::Instant now);
 
     // The fraction of the account's weight that applies at this entry, for its fair queue.
-    double weightHere(QuotaKey key) const;
+    double localWeight(QuotaKey key) const;
     // The fraction of the fleet's work that this entry should have in progress, 0 to 1.
     double fleetShare() const;
 
 private:
     // The report of this entry for one key, and the last sum that it received.
-    struct Reported
+    struct LocalReport
     {
         std::uint32_t weight = 0;
         std::uint64_t sum = 0; // 0: not received yet
-        bool settled = false;  // the broker of the sum had reports of all entries
-        state::Instant since;
-        state::Instant heardAt;
+        bool complete = false; // the broker of the sum had reports of all entries
+        state::Instant backlogSince;
+        state::Instant sumReceivedAt;
         state::Instant nextReport{};
         state::Duration interval = std::chrono::milliseconds(500);
     };
@@ -112,22 +115,22 @@
     };
 
     // The state of this entry as the broker of one key.
-    struct Brokered
+    struct BrokerState
     {
         std::map<state::VmId, Contribution> contributions;
-        state::Instant since; // of the first report
+        state::Instant firstReportAt; // of the first report
     };
 
     const state::VmId &brokerOf(QuotaKey key) const;
-    std::uint32_t valueOf(QuotaKey key, const Reported &reported) const;
+    std::uint32_t valueOf(QuotaKey key, const LocalReport &reported) const;
     double waitingWeight() const;
-    ShareSum contribute(const state::VmId &from, const ShareReport &report, state::Instant now);
-    void hear(const ShareSum &sum, state::Instant now);
+    ShareSum addReport(const state::VmId &from, const ShareReport &report, state::Instant now);
+    void receiveSum(const ShareSum &sum, state::Instant now);
 
     state::VmId self;
-    std::vector<state::VmId> live; // sorted; this entry included
-    std::unordered_map<QuotaKey, Reported> reported;
-    std::unordered_map<QuotaKey, Brokered> brokered;
+    std::vector<state::VmId> liveEntries; // sorted; this entry included
+    std::unordered_map<QuotaKey, LocalReport> localReports;
+    std::unordered_map<QuotaKey, BrokerState> brokerStates;
 };
 
 } // namespace lavenderthread::coordination::quota
--- a/src/coordination/quota/SlotPool.cpp
+++ b/src/coordination/quota/SlotPool.cpp
@@ -12,10 +12,11 @@
 {
     this->insert(deadline);
     const std::uint64_t own = ledger.usableOwn(now);
-    if (this->running() <= ledger.startableOwn(now))
+    if (this->running() <= ledger.ownForNewRequests(now))
         return true;
-    const Instant needed = this->latestOnBorrowed(own, now);
-    if (this->running() > own && ledger.startableUntil(needed, now) >= this->running() - own)
+    const Instant needed = this->latestDeadlineOnBorrowed(own, now);
+    if (this->running() > own
+        && ledger.borrowedForNewRequests(needed, now) >= this->running() - own)
         return true;
     this->finish(deadline);
     return false;
@@ -29,7 +30,7 @@
         this->deadlines.erase(place);
 }
 
-Instant SlotPool::latestOnBorrowed(std::uint64_t own, Instant now) const
+Instant SlotPool::latestDeadlineOnBorrowed(std::uint64_t own, Instant now) const
 {
     return own < this->deadlines.size() ? std::max(now, this->deadlines[own]) : now;
 }
--- a/src/coordination/quota/SlotPool.h
+++ b/src/coordination/quota/SlotPool.h
@@ -20,7 +20,7 @@
 
     std::uint64_t running() const { return this->deadlines.size(); }
     // The latest deadline of the requests that exceed the `own` slots; `now` if none does.
-    state::Instant latestOnBorrowed(std::uint64_t own, state::Instant now) const;
+    state::Instant latestDeadlineOnBorrowed(std::uint64_t own, state::Instant now) const;
 
 private:
     void insert(state::Instant deadline);
--- a/src/coordination/quota/TokenBucket.cpp
+++ b/src/coordination/quota/TokenBucket.cpp
@@ -20,16 +20,16 @@
 
 } // namespace
 
-void TokenBucket::settle(const PartLedger &ledger, Instant now)
+void TokenBucket::fill(const PartLedger &ledger, Instant now)
 {
-    if (!this->started) {
-        this->started = true;
-        this->filledTo = now;
+    if (!this->initialized) {
+        this->initialized = true;
+        this->filledUntil = now;
     }
     // A loan that ended since the last call changed the fill rate at its end.
     std::vector<Instant> ends;
     const auto addEnd = [&](Instant end) {
-        if (end > this->filledTo && end < now)
+        if (end > this->filledUntil && end < now)
             ends.push_back(end);
     };
     for (const auto &[lender, loan] : ledger.loansHeld())
@@ -38,26 +38,26 @@
         addEnd(loan.until);
     std::sort(ends.begin(), ends.end());
     for (const Instant end : ends)
-        this->fillTo(ledger, end);
-    this->fillTo(ledger, now);
+        this->fillAtRate(ledger, end);
+    this->fillAtRate(ledger, now);
     this->microTokens = std::min(this->microTokens, this->size(ledger, now));
 }
 
-void TokenBucket::fillTo(const PartLedger &ledger, Instant now)
+void TokenBucket::fillAtRate(const PartLedger &ledger, Instant now)
 {
-    const Duration elapsed = std::max(now - this->filledTo, Duration(0));
-    const std::int64_t rate = rateOf(ledger, this->filledTo);
+    const Duration elapsed = std::max(now - this->filledUntil, Duration(0));
+    const std::int64_t rate = rateOf(ledger, this->filledUntil);
     const std::int64_t missing =
-            std::max<std::int64_t>(this->size(ledger, this->filledTo) - this->microTokens, 0);
+            std::max<std::int64_t>(this->size(ledger, this->filledUntil) - this->microTokens, 0);
     // Compares times first: the rate times a long idle time would overflow the integer.
     const bool becomesFull = rate > 0 && elapsed.count() > missing / rate;
     this->microTokens += becomesFull ? missing : rate * elapsed.count();
-    this->filledTo = std::max(this->filledTo, now);
+    this->filledUntil = std::max(this->filledUntil, now);
 }
 
 bool TokenBucket::trySpend(std::uint64_t tokens, const PartLedger &ledger, Instant now)
 {
-    this->settle(ledger, now);
+    this->fill(ledger, now);
     const std::int64_t full = this->size(ledger, now);
     const std::int64_t cost = static_cast<std::int64_t>(tokens) * microTokensPerToken;
     if (full == 0 || this->microTokens < std::min(cost, full))
--- a/src/coordination/quota/TokenBucket.h
+++ b/src/coordination/quota/TokenBucket.h
@@ -20,7 +20,7 @@
     {}
 
     // Adds the tokens earned until `now`. Call it before and after each change of the ledger.
-    void settle(const PartLedger &ledger, state::Instant now);
+    void fill(const PartLedger &ledger, state::Instant now);
     // A request larger than the bucket may start when the bucket is full, and overdraws it.
     bool trySpend(std::uint64_t tokens, const PartLedger &ledger, state::Instant now);
     // Takes tokens that were used already; may overdraw the bucket.
@@ -29,12 +29,12 @@
 
 private:
     std::int64_t size(const PartLedger &ledger, state::Instant now) const;
-    void fillTo(const PartLedger &ledger, state::Instant now);
+    void fillAtRate(const PartLedger &ledger, state::Instant now);
 
     state::Duration burst;
     std::int64_t microTokens = 0; // below 0 while overdrawn
-    state::Instant filledTo{};
-    bool started = false;
+    state::Instant filledUntil{};
+    bool initialized = false;
 };
 
 } // namespace lavenderthread::coordination::quota
--- a/src/coordination/relay/EventSplitter.cpp
+++ b/src/coordination/relay/EventSplitter.cpp
@@ -42,23 +42,23 @@
 
 } // namespace
 
-std::string EventSplitter::take(std::string_view bytes)
+std::string EventSplitter::append(std::string_view bytes)
 {
-    this->rest += bytes;
+    this->buffer += bytes;
     std::string complete;
     std::size_t begin = 0;
     while (true) {
-        const std::size_t end = endOfEvent(this->rest, begin);
+        const std::size_t end = endOfEvent(this->buffer, begin);
         if (end == std::string_view::npos)
             break;
-        const std::string_view event = std::string_view(this->rest).substr(begin, end - begin);
+        const std::string_view event = std::string_view(this->buffer).substr(begin, end - begin);
         if (this->isNew(event)) {
             complete += event;
-            ++this->events;
+            ++this->passedEventCount;
         }
         begin = end;
     }
-    this->rest.erase(0, begin);
+    this->buffer.erase(0, begin);
     return complete;
 }
 
@@ -67,9 +67,9 @@
     const std::optional<std::uint64_t> id = idOf(event);
     if (!id)
         return true;
-    if (this->last && *id <= *this->last)
+    if (this->lastEventId && *id <= *this->lastEventId)
         return false;
-    this->last = id;
+    this->lastEventId = id;
     return true;
 }
 
--- a/src/coordination/relay/EventSplitter.h
+++ b/src/coordination/relay/EventSplitter.h
@@ -14,25 +14,26 @@
 public:
     // Appends bytes and returns, unchanged, the complete events that are new to the caller. Events
     // up to the last id passed on are left out, as an endpoint that resumes may repeat some.
-    std::string take(std::string_view bytes);
+    std::string append(std::string_view bytes);
 
     // Whether bytes of an incomplete event are buffered.
-    bool hasRest() const { return !this->rest.empty(); }
+    bool hasPartialEvent() const { return !this->buffer.empty(); }
     // Drops the event that an endpoint left incomplete, before another one continues the stream.
-    void dropRest() { this->rest.clear(); }
+    void dropPartialEvent() { this->buffer.clear(); }
 
-    const std::optional<std::uint64_t> &lastId() const { return this->last; }
+    const std::optional<std::uint64_t> &lastId() const { return this->lastEventId; }
     // The caller resumes a stream of which it has all events up to `id`.
-    void resumeBehind(std::uint64_t id) { this->last = id; }
+    void resumeAfter(std::uint64_t id) { this->lastEventId = id; }
     // Number of events passed on.
-    std::uint64_t passed() const { return this->events; }
+    std::uint64_t passedEvents() const { return this->passedEventCount; }
 
 private:
     bool isNew(std::string_view event);
 
-    std::string rest;
-    std::optional<std::uint64_t> last; // highest event id that the caller has; never decreases
-    std::uint64_t events = 0;
+    std::string buffer;
+    std::optional<std::uint64_t>
+            lastEventId; // highest event id that the caller has; never decreases
+    std::uint64_t passedEventCount = 0;
 };
 
 } // namespace lavenderthread::coordination::relay
--- a/src/coordination/relay/FinalAnswer.cpp
+++ b/src/coordination/relay/FinalAnswer.cpp
@@ -9,29 +9,29 @@
 
 } // namespace
 
-bool mayTryAgain(const CallFacts &facts, AttemptEnd last)
+bool mayRetry(const CallState &facts, AttemptResult last)
 {
-    if (facts.callerGone || facts.timeIsOver)
+    if (facts.callerGone || facts.deadlinePassed)
         return false;
-    if (facts.runs >= facts.allowedRuns || facts.refusals >= maxRefusals)
+    if (facts.runs >= facts.maxRuns || facts.refusals >= maxRefusals)
         return false;
     // Once the call may have run, it is retried only if it is repeatable, also when a later
     // endpoint refused it.
     if (facts.runs > 0 && !facts.repeatable)
         return false;
-    return last != AttemptEnd::Whole;
+    return last != AttemptResult::Complete;
 }
 
-FinalAnswer finalAnswer(const CallFacts &facts, bool hasEndpointAnswer)
+FinalAnswer finalAnswer(const CallState &facts, bool hasEndpointAnswer)
 {
     if (facts.callerGone)
         return FinalAnswer::None;
     if (facts.answerBegun)
-        return FinalAnswer::Cut;
+        return FinalAnswer::Truncated;
     if (hasEndpointAnswer)
         return FinalAnswer::EndpointAnswer;
     if (facts.runs > 0)
-        return facts.timeIsOver ? FinalAnswer::Timeout : FinalAnswer::Unknown;
+        return facts.deadlinePassed ? FinalAnswer::Timeout : FinalAnswer::Unknown;
     return FinalAnswer::NotRun;
 }
 
--- a/src/coordination/relay/FinalAnswer.h
+++ b/src/coordination/relay/FinalAnswer.h
@@ -8,8 +8,8 @@
 namespace lavenderthread::coordination::relay {
 
 // How one attempt at an endpoint ended.
-enum class AttemptEnd : std::uint8_t {
-    Whole,     // the caller has the endpoint's complete answer
+enum class AttemptResult : std::uint8_t {
+    Complete,  // the caller has the endpoint's complete answer
     NeverSent, // no byte of the request was sent
     NotRun,    // the endpoint reports that it has not run it
     Failed,    // the endpoint ran it and answered with a failure
@@ -17,26 +17,26 @@
 };
 
 // State of one call over all its attempts so far.
-struct CallFacts
+struct CallState
 {
-    bool repeatable = false;       // may run more than once
-    std::uint32_t allowedRuns = 1; // maximum number of endpoints that may run it
-    std::uint32_t runs = 0;        // attempts that ended Failed or Lost
-    std::uint32_t refusals = 0;    // attempts that ended NeverSent or NotRun
-    bool answerBegun = false;      // part of an answer has been sent to the caller
-    bool timeIsOver = false;
+    bool repeatable = false;    // may run more than once
+    std::uint32_t maxRuns = 1;  // maximum number of endpoints that may run it
+    std::uint32_t runs = 0;     // attempts that ended Failed or Lost
+    std::uint32_t refusals = 0; // attempts that ended NeverSent or NotRun
+    bool answerBegun = false;   // part of an answer has been sent to the caller
+    bool deadlinePassed = false;
     bool callerGone = false;
 
-    auto operator<=>(const CallFacts &) const = default;
+    auto operator<=>(const CallState &) const = default;
 };
 
 // Whether the call may be sent to another endpoint after an attempt that ended with `last`; never
 // after a complete answer.
-bool mayTryAgain(const CallFacts &facts, AttemptEnd last);
+bool mayRetry(const CallState &facts, AttemptResult last);
 
 enum class FinalAnswer : std::uint8_t {
     None,           // the caller has gone
-    Cut,            // an answer has begun: end it so that the caller sees it is incomplete
+    Truncated,      // an answer has begun: end it so that the caller sees it is incomplete
     EndpointAnswer, // pass on the failure that an endpoint answered, unchanged
     NotRun,         // 503: no endpoint has run it or will run it
     Unknown,        // 502: it may have run
@@ -45,6 +45,6 @@
 
 // The answer to a call without a complete one. `hasEndpointAnswer`: an attempt ended Failed and its
 // answer is kept.
-FinalAnswer finalAnswer(const CallFacts &facts, bool hasEndpointAnswer);
+FinalAnswer finalAnswer(const CallState &facts, bool hasEndpointAnswer);
 
 } // namespace lavenderthread::coordination::relay
--- a/src/coordination/routing/DemandSplit.cpp
+++ b/src/coordination/routing/DemandSplit.cpp
@@ -28,13 +28,13 @@
 DemandSplit::DemandSplit(const PolicySettings &settings)
     : shortWeight(settings.shortSlowdownWeight)
     , longWeight(settings.firstTokenWeight)
-    , slowdownBesidePrefill(settings.prefillSlowsDecode)
+    , decodeSlowdownDuringPrefill(settings.prefillSlowsDecode)
 {}
 
 void DemandSplit::note(bool isShort, double prefillSeconds, state::Instant now)
 {
-    if (!this->seen) {
-        this->seen = true;
+    if (!this->hasDemand) {
+        this->hasDemand = true;
         this->started = now;
         this->updated = now;
     }
@@ -48,7 +48,7 @@
     (isShort ? this->shortDemand : this->longDemand) += prefillSeconds / averagingSeconds;
 }
 
-std::size_t DemandSplit::longEngines(std::size_t count) const
+std::size_t DemandSplit::longEngineCount(std::size_t count) const
 {
     if (count < 2)
         return count;
@@ -61,8 +61,8 @@
     std::size_t best = count / 2;
     double bestLoss = std::numeric_limits<double>::max();
     for (std::size_t engines = 1; engines < count; ++engines) {
-        const double shortLoss =
-                queueLength(shortLoad, double(count - engines)) * (this->slowdownBesidePrefill - 1);
+        const double shortLoss = queueLength(shortLoad, double(count - engines))
+                                 * (this->decodeSlowdownDuringPrefill - 1);
         const double longLoss = queueLength(longLoad, double(engines)) / std::sqrt(double(engines));
         const double loss = this->shortWeight * shortLoss + this->longWeight * longLoss;
         if (loss < bestLoss) {
@@ -70,7 +70,7 @@
             bestLoss = loss;
         }
     }
-    return this->seen ? best : count / 2;
+    return this->hasDemand ? best : count / 2;
 }
 
 } // namespace lavenderthread::coordination::routing
--- a/src/coordination/routing/DemandSplit.h
+++ b/src/coordination/routing/DemandSplit.h
@@ -23,17 +23,17 @@
 
     // Returns how many of `count` engines take longer prompts: between 1 and count - 1, or `count`
     // itself below 2. Minimizes the weighted sum of the expected losses of both kinds.
-    std::size_t longEngines(std::size_t count) const;
+    std::size_t longEngineCount(std::size_t count) const;
 
 private:
     double shortWeight;
     double longWeight;
-    double slowdownBesidePrefill;
+    double decodeSlowdownDuringPrefill;
     double shortDemand = 0; // as busy engines, exponentially averaged
     double longDemand = 0;  // the same
     state::Instant updated{};
     state::Instant started{};
-    bool seen = false;
+    bool hasDemand = false;
 };
 
 } // namespace lavenderthread::coordination::routing
--- a/src/coordination/routing/EndpointHealth.cpp
+++ b/src/coordination/routing/EndpointHealth.cpp
@@ -16,49 +16,50 @@
 
 } // namespace
 
-bool EndpointHealth::note(const state::EndpointId &id, std::uint64_t incarnation,
-                          AttemptHealth outcome, state::Instant now)
+bool EndpointHealth::recordAttempt(const state::EndpointId &id, std::uint64_t incarnation,
+                                   AttemptOutcome outcome, state::Instant now)
 {
-    Seen &recent = this->endpoints[id];
+    RecentOutcomes &recent = this->endpoints[id];
     if (incarnation < recent.incarnation)
         return false; // the endpoint has restarted since
     if (incarnation > recent.incarnation)
-        recent = Seen{incarnation, 0, 0, now, {}, this->settings.firstSuspicion};
+        recent = RecentOutcomes{incarnation, 0, 0, now, {}, this->settings.initialSuspicion};
     this->decay(recent, now);
-    if (outcome == AttemptHealth::Served) {
-        recent.served += 1;
+    if (outcome == AttemptOutcome::Succeeded) {
+        recent.succeeded += 1;
         // Only a success after the suspicion has ended resets its duration, since an attempt may
         // have started before the suspicion.
         if (now >= recent.suspectUntil)
-            recent.nextSuspicion = this->settings.firstSuspicion;
+            recent.nextSuspicion = this->settings.initialSuspicion;
         return false;
     }
     recent.failed += 1;
     const bool wasSuspect = now < recent.suspectUntil;
-    const double share = recent.failed / (recent.failed + recent.served);
-    const bool exceedsThresholds =
-            recent.failed >= this->settings.failures && share >= this->settings.failureShare;
-    if (wasSuspect || (outcome != AttemptHealth::Unreachable && !exceedsThresholds))
+    const double share = recent.failed / (recent.failed + recent.succeeded);
+    const bool exceedsThresholds = recent.failed >= this->settings.minimumFailures
+                                   && share >= this->settings.minimumFailureShare;
+    if (wasSuspect || (outcome != AttemptOutcome::Unreachable && !exceedsThresholds))
         return false;
-    this->suspect(recent, now);
+    this->markSuspect(recent, now);
     return true;
 }
 
-void EndpointHealth::suspect(Seen &recent, state::Instant now) const
+void EndpointHealth::markSuspect(RecentOutcomes &recent, state::Instant now) const
 {
     recent.suspectUntil = now + recent.nextSuspicion;
-    recent.nextSuspicion = std::min(recent.nextSuspicion * 2, this->settings.longestSuspicion);
+    recent.nextSuspicion = std::min(recent.nextSuspicion * 2, this->settings.maximumSuspicion);
     // The next decision counts only the attempts after this suspicion began.
     recent.failed = 0;
-    recent.served = 0;
+    recent.succeeded = 0;
 }
 
-void EndpointHealth::decay(Seen &recent, state::Instant now) const
+void EndpointHealth::decay(RecentOutcomes &recent, state::Instant now) const
 {
-    const double kept = std::exp2(-toSeconds(now - recent.at) / toSeconds(this->settings.memory));
+    const double kept =
+            std::exp2(-toSeconds(now - recent.decayedAt) / toSeconds(this->settings.halfLife));
     recent.failed *= kept;
-    recent.served *= kept;
-    recent.at = now;
+    recent.succeeded *= kept;
+    recent.decayedAt = now;
 }
 
 bool EndpointHealth::isSuspect(const state::EndpointId &id, std::uint64_t incarnation,
@@ -69,10 +70,11 @@
            && now < found->second.suspectUntil;
 }
 
-void EndpointHealth::forget(state::Instant now)
+void EndpointHealth::removeInactive(state::Instant now)
 {
-    std::erase_if(this->endpoints,
-                  [now](const auto &each) { return now - each.second.at >= inactivityLimit; });
+    std::erase_if(this->endpoints, [now](const auto &each) {
+        return now - each.second.decayedAt >= inactivityLimit;
+    });
 }
 
 } // namespace lavenderthread::coordination::routing
--- a/src/coordination/routing/EndpointHealth.h
+++ b/src/coordination/routing/EndpointHealth.h
@@ -10,19 +10,19 @@
 
 namespace lavenderthread::coordination::routing {
 
-enum class AttemptHealth : std::uint8_t {
-    Served,
+enum class AttemptOutcome : std::uint8_t {
+    Succeeded,
     Failed,      // refused, cut off, timed out, or answered with a failure
     Unreachable, // no connection
 };
 
 struct EndpointHealthSettings
 {
-    state::Duration memory = std::chrono::seconds(4); // half-life of the counted outcomes
-    double failures = 2.5;     // decayed count that makes an endpoint suspect,
-    double failureShare = 0.4; // if at least this share of the attempts failed
-    state::Duration firstSuspicion = std::chrono::seconds(1); // duration; doubles each time
-    state::Duration longestSuspicion = std::chrono::seconds(8);
+    state::Duration halfLife = std::chrono::seconds(4); // half-life of the counted outcomes
+    double minimumFailures = 2.5;     // decayed count that makes an endpoint suspect,
+    double minimumFailureShare = 0.4; // if at least this share of the attempts failed
+    state::Duration initialSuspicion = std::chrono::seconds(1); // duration; doubles each time
+    state::Duration maximumSuspicion = std::chrono::seconds(8);
 };
 
 // Counts the outcomes per endpoint with exponential decay. An endpoint becomes suspect for a
@@ -36,29 +36,29 @@
 
     // Records the outcome of an attempt. Returns true if it made the endpoint suspect. Outcomes of
     // former incarnations are ignored.
-    bool note(const state::EndpointId &id, std::uint64_t incarnation, AttemptHealth outcome,
-              state::Instant now);
+    bool recordAttempt(const state::EndpointId &id, std::uint64_t incarnation,
+                       AttemptOutcome outcome, state::Instant now);
     bool isSuspect(const state::EndpointId &id, std::uint64_t incarnation,
                    state::Instant now) const;
-    void forget(state::Instant now); // drops endpoints without recent attempts
+    void removeInactive(state::Instant now); // drops endpoints without recent attempts
 
 private:
     // Recent outcomes of one endpoint.
-    struct Seen
+    struct RecentOutcomes
     {
         std::uint64_t incarnation = 0;
         double failed = 0; // both counts are decayed to `decayedAt`
-        double served = 0;
-        state::Instant at;
+        double succeeded = 0;
+        state::Instant decayedAt;
         state::Instant suspectUntil;
         state::Duration nextSuspicion{0};
     };
 
-    void decay(Seen &recent, state::Instant now) const;
-    void suspect(Seen &recent, state::Instant now) const;
+    void decay(RecentOutcomes &recent, state::Instant now) const;
+    void markSuspect(RecentOutcomes &recent, state::Instant now) const;
 
     EndpointHealthSettings settings;
-    std::map<state::EndpointId, Seen> endpoints;
+    std::map<state::EndpointId, RecentOutcomes> endpoints;
 };
 
 } // namespace lavenderthread::coordination::routing
--- a/src/coordination/routing/EngineView.cpp
+++ b/src/coordination/routing/EngineView.cpp
@@ -22,19 +22,19 @@
     , prefixIndex(policy.prefixIndexBlocks)
     , reportSlackTokens(0)
     , peersShareWork(policy.shareWork)
-    , slowdownBesidePrefill(policy.prefillSlowsDecode)
+    , decodeSlowdownDuringPrefill(policy.prefillSlowsDecode)
 {
     this->reportSlackTokens =
             policy.shareWork ? toSeconds(policy.reportSlack) / this->prefillSeconds(1) : 0;
 }
 
-void EngineView::announce(state::EndpointDescription announced)
+void EngineView::applyAnnouncement(state::EndpointDescription announced)
 {
     if (announced.incarnation > this->endpoint.incarnation) {
         this->work.clear();
         this->prefixIndex.clear();
         this->reportSequence = 0;
-        this->unknownPrefill = 0;
+        this->unattributedPrefillTokens = 0;
         this->reportedMemory = 0;
         this->reportedRequests = 0;
     }
@@ -44,7 +44,7 @@
 void EngineView::apply(const WorkNote &note, state::Instant now)
 {
     this->advance(now);
-    const auto found = std::ranges::find(this->work, note.work, &Resident::work);
+    const auto found = std::ranges::find(this->work, note.requestHash, &ResidentWork::requestHash);
     if (note.stage == WorkStage::Ended) {
         if (found != this->work.end())
             this->work.erase(found);
@@ -59,40 +59,41 @@
     }
     if (found != this->work.end())
         this->work.erase(found);
-    this->insert(Resident{note.work, note.priority, double(note.prefillTokens),
-                          double(note.outputTokens), note.promptTokens, note.outputTokens,
-                          note.memoryTokens, false, now + note.lifetime,
-                          std::chrono::duration<double>(note.pause).count(), false});
+    this->insert(ResidentWork{note.requestHash, note.priority, double(note.prefillTokens),
+                              double(note.outputTokens), note.promptTokens, note.outputTokens,
+                              note.memoryTokens, false, now + note.lifetime,
+                              std::chrono::duration<double>(note.toleratedPause).count(), false});
     ++this->dispatchedSinceReport;
 }
 
-void EngineView::insert(Resident resident)
+void EngineView::insert(ResidentWork resident)
 {
     const auto place =
-            std::ranges::upper_bound(this->work, resident.priority, {}, &Resident::priority);
+            std::ranges::upper_bound(this->work, resident.priority, {}, &ResidentWork::priority);
     this->work.insert(place, resident);
 }
 
 // The engine prefills helper work before the requests that wait there, whatever the priority.
-void EngineView::help(const WorkNote &note, std::uint32_t memoryTokens, state::Instant now)
+void EngineView::addHelperWork(const WorkNote &note, std::uint32_t memoryTokens, state::Instant now)
 {
     this->advance(now);
-    std::erase_if(this->work, [&](const Resident &each) { return each.work == note.work; });
-    Resident helperWork;
-    helperWork.work = note.work;
+    std::erase_if(this->work,
+                  [&](const ResidentWork &each) { return each.requestHash == note.requestHash; });
+    ResidentWork helperWork;
+    helperWork.requestHash = note.requestHash;
     helperWork.prefillLeft = double(note.prefillTokens);
     helperWork.memoryTokens = memoryTokens;
     helperWork.expires = now + note.lifetime;
-    helperWork.helping = true;
+    helperWork.isHelperWork = true;
     this->insert(helperWork);
 }
 
 // A helper without reserved memory keeps nothing of the prompt, so its work is over when the first
 // token arrives.
-void EngineView::helpOver(std::uint64_t requestHash, WorkStage stage, state::Instant now)
+void EngineView::completeHelperWork(std::uint64_t requestHash, WorkStage stage, state::Instant now)
 {
-    const auto matches = [requestHash](const Resident &each) {
-        return each.work == requestHash && each.helping;
+    const auto matches = [requestHash](const ResidentWork &each) {
+        return each.requestHash == requestHash && each.isHelperWork;
     };
     if (std::ranges::none_of(this->work, matches))
         return;
@@ -115,11 +116,11 @@
     this->advance(now);
     this->reportSequence = report.sequence;
     double known = 0;
-    for (const Resident &resident : this->work)
+    for (const ResidentWork &resident : this->work)
         known += resident.prefillLeft;
     // A report arrives late and still counts work that was completed since. Without the slack an
     // idle engine would look busy with completed work, and entries would avoid it.
-    this->unknownPrefill =
+    this->unattributedPrefillTokens =
             std::max(0.0, double(report.waitingPrefillTokens) - known - this->reportSlackTokens);
     this->reportedMemory = report.kvUsedTokens;
     this->reportedRequests = report.runningRequests + report.waitingRequests;
@@ -132,22 +133,22 @@
         return;
     const double elapsed = toSeconds(now - this->advancedTo);
     this->advancedTo = now;
-    double budget = elapsed * this->prefillSpeed() / this->prefillSeconds(1);
+    double budget = elapsed * this->prefillTimeShare() / this->prefillSeconds(1);
     const double offered = budget;
-    for (Resident &resident : this->work) {
+    for (ResidentWork &resident : this->work) {
         const double done = std::min(budget, resident.prefillLeft);
         resident.prefillLeft -= done;
         budget -= done;
     }
-    const double unknownDone = std::min(budget, this->unknownPrefill);
-    this->unknownPrefill -= unknownDone;
+    const double unknownDone = std::min(budget, this->unattributedPrefillTokens);
+    this->unattributedPrefillTokens -= unknownDone;
     budget -= unknownDone;
 
     const double prefilling = elapsed * (1 - budget / offered);
     const double step = this->decodeStepSeconds();
     const double decoded =
-            prefilling / (step * this->slowdownBesidePrefill) + (elapsed - prefilling) / step;
-    for (Resident &resident : this->work) {
+            prefilling / (step * this->decodeSlowdownDuringPrefill) + (elapsed - prefilling) / step;
+    for (ResidentWork &resident : this->work) {
         if (resident.decoding)
             resident.outputLeft = std::max(0.0, resident.outputLeft - decoded);
     }
@@ -156,13 +157,13 @@
 
 // Under continuous batching each pass decodes and also prefills what waits when the pass begins, up
 // to a limit.
-double EngineView::prefillSpeed() const
+double EngineView::prefillTimeShare() const
 {
-    if (!this->declared)
+    if (!this->declaredProfile)
         return 1;
     double decoding = 0;
     double context = 0;
-    for (const Resident &resident : this->work) {
+    for (const ResidentWork &resident : this->work) {
         if (!resident.decoding)
             continue;
         decoding += 1;
@@ -173,7 +174,8 @@
     constexpr double minimumPrefill = 0.1; // seconds per pass, so that little prefill progresses
     constexpr double maximumPrefill = 0.8; // that fit a pass, with a long prompt's attention
     const double prefill = std::clamp(this->prefillSecondsLeft(), minimumPrefill, maximumPrefill);
-    const double decode = state::routes::decodePassSeconds(*this->declared, decoding, context);
+    const double decode =
+            state::routes::decodePassSeconds(*this->declaredProfile, decoding, context);
     return prefill / (prefill + decode);
 }
 
@@ -181,7 +183,8 @@
 {
     // A peer that crashed never sends the end of its work. After the deadline nobody waits for
     // the result.
-    std::erase_if(this->work, [now](const Resident &resident) { return resident.expires <= now; });
+    std::erase_if(this->work,
+                  [now](const ResidentWork &resident) { return resident.expires <= now; });
 }
 
 double EngineView::prefillSeconds(double tokens) const
@@ -190,10 +193,10 @@
     return tokens / (rate > 0 ? rate : fallbackPrefillRate);
 }
 
-double EngineView::secondsAhead(std::uint8_t priority) const
+double EngineView::prefillSecondsAhead(std::uint8_t priority) const
 {
-    double tokens = this->unknownPrefill;
-    for (const Resident &resident : this->work) {
+    double tokens = this->unattributedPrefillTokens;
+    for (const ResidentWork &resident : this->work) {
         if (resident.priority > priority)
             break;
         tokens += resident.prefillLeft;
@@ -203,8 +206,8 @@
 
 double EngineView::prefillSecondsLeft() const
 {
-    double tokens = this->unknownPrefill;
-    for (const Resident &resident : this->work)
+    double tokens = this->unattributedPrefillTokens;
+    for (const ResidentWork &resident : this->work)
         tokens += resident.prefillLeft;
     return this->prefillSeconds(tokens);
 }
@@ -218,7 +221,7 @@
 std::uint64_t EngineView::freeTokens() const
 {
     std::uint64_t claimed = 0;
-    for (const Resident &resident : this->work)
+    for (const ResidentWork &resident : this->work)
         claimed += resident.memoryTokens;
     if (!this->peersShareWork)
         claimed = std::max(claimed, this->reportedMemory);
@@ -226,7 +229,7 @@
     return capacity > claimed ? capacity - claimed : 0;
 }
 
-std::uint32_t EngineView::outstanding() const
+std::uint32_t EngineView::outstandingRequests() const
 {
     return this->reportedRequests + this->dispatchedSinceReport;
 }
--- a/src/coordination/routing/EngineView.h
+++ b/src/coordination/routing/EngineView.h
@@ -17,9 +17,9 @@
 namespace lavenderthread::coordination::routing {
 
 // A request, or a helper's share of one, that is believed to be on an engine.
-struct Resident
+struct ResidentWork
 {
-    std::uint64_t work = 0;
+    std::uint64_t requestHash = 0;
     std::uint8_t priority = 0;
     double prefillLeft = 0; // estimated tokens
     double outputLeft = 0;  // estimated tokens
@@ -28,8 +28,9 @@
     std::uint32_t memoryTokens = 0;
     bool decoding = false;
     state::Instant expires;
-    double pauseSeconds = 0; // longest gap between two events that the caller tolerates; 0: unknown
-    bool helping = false;    // this engine prefills only a part of the prompt, for another engine
+    double toleratedPauseSeconds =
+            0; // longest gap between two events that the caller tolerates; 0: unknown
+    bool isHelperWork = false; // this engine prefills only a part of the prompt, for another engine
 };
 
 // Tracks the work on an engine from work notes and load reports, and estimates how long new work
@@ -42,51 +43,55 @@
     const state::EndpointDescription &description() const { return this->endpoint; }
     const PrefixIndex &prefixes() const { return this->prefixIndex; }
     PrefixIndex &prefixes() { return this->prefixIndex; }
-    std::span<const Resident> residents() const { return this->work; }
+    std::span<const ResidentWork> residentWork() const { return this->work; }
 
     // Replaces the description. A newer incarnation discards the work and the prefix cache.
-    void announce(state::EndpointDescription announced);
+    void applyAnnouncement(state::EndpointDescription announced);
     // Timing of the engine's passes, if operators have declared it.
-    const std::optional<state::routes::EngineProfile> &profile() const { return this->declared; }
+    const std::optional<state::routes::EngineProfile> &profile() const
+    {
+        return this->declaredProfile;
+    }
     void setProfile(std::optional<state::routes::EngineProfile> profile)
     {
-        this->declared = profile;
+        this->declaredProfile = profile;
     }
     // Adds the part of a dispatched prompt that this engine prefills as a helper, and the memory
     // that it reserves for it.
-    void help(const WorkNote &note, std::uint32_t memoryTokens, state::Instant now);
+    void addHelperWork(const WorkNote &note, std::uint32_t memoryTokens, state::Instant now);
     // Completes the helper work for a request that decodes or has ended. No effect without any.
-    void helpOver(std::uint64_t requestHash, WorkStage stage, state::Instant now);
+    void completeHelperWork(std::uint64_t requestHash, WorkStage stage, state::Instant now);
     void apply(const WorkNote &note, state::Instant now);
     void apply(const state::LoadReport &report, state::Instant now);
     void advance(state::Instant now); // estimates the progress of the work up to now
 
     double prefillSeconds(double tokens) const;
     // Prefill that runs before a new request of that priority. Call advance(now) first.
-    double secondsAhead(std::uint8_t priority) const;
+    double prefillSecondsAhead(std::uint8_t priority) const;
     double prefillSecondsLeft() const; // of all work, as engine time
-    double prefillSpeed() const;       // of engine time, 0 to 1; decoding takes the rest
+    double prefillTimeShare() const;   // of engine time, 0 to 1; decoding takes the rest
     double decodeStepSeconds() const;
     // Memory that known work and, unless peers share work notes, the last report do not claim.
     std::uint64_t freeTokens() const;
-    std::uint32_t outstanding() const; // requests in the last report and dispatched since
+    std::uint32_t outstandingRequests() const; // requests in the last report and dispatched since
 
     bool draining = false;
     bool suspected = false; // attempts on it fail; it gets no new work for a while
 
 private:
-    void insert(Resident resident);
+    void insert(ResidentWork resident);
     void dropExpired(state::Instant now);
 
     state::EndpointDescription endpoint;
-    std::optional<state::routes::EngineProfile> declared;
+    std::optional<state::routes::EngineProfile> declaredProfile;
     PrefixIndex prefixIndex;
     double reportSlackTokens; // completed prefill that a late report may still count
     bool peersShareWork;
-    double slowdownBesidePrefill;
+    double decodeSlowdownDuringPrefill;
 
-    std::vector<Resident> work; // ordered by priority, then by arrival
-    double unknownPrefill = 0;  // tokens reported beyond the known work; decreases with time
+    std::vector<ResidentWork> work; // ordered by priority, then by arrival
+    double unattributedPrefillTokens =
+            0; // tokens reported beyond the known work; decreases with time
     std::uint64_t reportedMemory = 0;
     std::uint32_t reportedRequests = 0;
     std::uint32_t dispatchedSinceReport = 0;
--- a/src/coordination/routing/Fleet.cpp
+++ b/src/coordination/routing/Fleet.cpp
@@ -34,7 +34,7 @@
     , hooks(std::move(fleetHooks))
     , random(seed)
     , nextRoundRobin(seed)
-    , split(settings)
+    , demandSplit(settings)
 {}
 
 void Fleet::announce(const state::EndpointDescription &description,
@@ -48,7 +48,7 @@
         view.setProfile(profile);
     } else {
         const bool sameModels = found->second.description().models == description.models;
-        found->second.announce(description);
+        found->second.applyAnnouncement(description);
         found->second.setProfile(profile);
         if (sameModels)
             return;
@@ -116,10 +116,10 @@
     return found == this->byKey.end() ? nullptr : found->second;
 }
 
-void Fleet::helpOver(std::uint64_t work, WorkStage stage, state::Instant now)
+void Fleet::completeHelperWork(std::uint64_t work, WorkStage stage, state::Instant now)
 {
     for (auto &[id, view] : this->engines)
-        view.helpOver(work, stage, now);
+        view.completeHelperWork(work, stage, now);
 }
 
 const std::vector<state::EndpointId> &Fleet::watched(const state::ModelName &model) const
@@ -134,36 +134,36 @@
     const auto found = this->byModel.find(query.model);
     if (found == this->byModel.end())
         return std::nullopt;
-    const Watched &set = found->second;
+    const WatchedEngines &set = found->second;
     // Must come before any query: it is what removes work whose end was never reported.
     for (EngineView *view : set.views)
         view->advance(now);
-    std::vector<std::size_t> eligible = this->candidates(set, query);
+    std::vector<std::size_t> eligible = this->eligibleEngines(set, query);
     if (eligible.empty())
         return std::nullopt;
     if (const auto index = this->baselineChoice(set, query, eligible))
-        return this->best(set, query, {*index});
-    if (!this->policy.splitEngines || query.only)
-        return this->best(set, query, eligible);
+        return this->cheapest(set, query, {*index});
+    if (!this->policy.splitEngines || query.requiredEngine)
+        return this->cheapest(set, query, eligible);
 
     const bool isShort = query.prompt.promptTokens < this->policy.shortPromptTokens;
-    const std::size_t longCount = this->split.longEngines(set.views.size());
+    const std::size_t longCount = this->demandSplit.longEngineCount(set.views.size());
     const auto otherGroup =
             std::stable_partition(eligible.begin(), eligible.end(), [&](std::size_t index) {
                 return isShort != (set.rank[index] < longCount);
             });
     const std::vector<std::size_t> ownGroup(eligible.begin(), otherGroup);
-    std::optional<Choice> choice = this->best(set, query, ownGroup);
-    if (isShort && (!choice || choice->prediction.aheadSeconds > ownGroupMaxWaitSeconds))
-        return this->best(set, query, eligible);
+    std::optional<Choice> choice = this->cheapest(set, query, ownGroup);
+    if (isShort && (!choice || choice->prediction.prefillSecondsAhead > ownGroupMaxWaitSeconds))
+        return this->cheapest(set, query, eligible);
     // Longer prompts use the engines for short ones only if their own group has no engine left.
     if (!choice && ownGroup.empty() && query.ignoreQueueLimit)
-        return this->best(set, query, eligible);
+        return this->cheapest(set, query, eligible);
     return choice;
 }
 
-std::optional<Choice> Fleet::best(const Watched &set, const ChoiceQuery &query,
-                                  const std::vector<std::size_t> &eligible)
+std::optional<Choice> Fleet::cheapest(const WatchedEngines &set, const ChoiceQuery &query,
+                                      const std::vector<std::size_t> &eligible)
 {
     const double limit = toSeconds(this->policy.engineQueueLimit);
     const bool limited = this->policy.holdInEntry && !query.ignoreQueueLimit;
@@ -176,7 +176,7 @@
         const Prediction prediction = predict(view, query.prompt, this->policy, transfer);
         if (limited && prediction.queueSeconds > limit)
             continue;
-        const bool avoided = !query.avoid.empty() && domain == query.avoid;
+        const bool avoided = !query.avoidedDomain.empty() && domain == query.avoidedDomain;
         const bool better = !best || (bestAvoided && !avoided)
                             || (bestAvoided == avoided && prediction.cost < best->prediction.cost);
         if (!better)
@@ -187,41 +187,43 @@
     return best;
 }
 
-bool Fleet::mayTake(const EngineView &view, std::size_t index, const Watched &set,
-                    const ChoiceQuery &query) const
+bool Fleet::isEligible(const EngineView &view, std::size_t index, const WatchedEngines &set,
+                       const ChoiceQuery &query) const
 {
-    if (query.only && *query.only != set.ids[index])
+    if (query.requiredEngine && *query.requiredEngine != set.ids[index])
         return false;
-    if (view.draining && !query.only)
+    if (view.draining && !query.requiredEngine)
         return false;
-    if (this->policy.placement != Placement::Predicted || query.ignoreQueueLimit || query.only)
+    if (this->policy.placement != Placement::Predicted || query.ignoreQueueLimit
+        || query.requiredEngine)
         return true;
     return view.freeTokens() >= query.memoryTokens;
 }
 
-std::vector<std::size_t> Fleet::candidates(const Watched &set, const ChoiceQuery &query)
+std::vector<std::size_t> Fleet::eligibleEngines(const WatchedEngines &set, const ChoiceQuery &query)
 {
     std::vector<std::size_t> eligible;
     const std::size_t wanted = this->policy.sampledEngines;
-    if (wanted > 0 && wanted < set.ids.size() && !query.only) {
+    if (wanted > 0 && wanted < set.ids.size() && !query.requiredEngine) {
         for (std::size_t tries = wanted * sampleTries; tries > 0 && eligible.size() < wanted;
              --tries) {
             const std::size_t index = this->random() % set.ids.size();
             const bool repeated = std::ranges::find(eligible, index) != eligible.end();
-            if (!repeated && this->mayTake(*set.views[index], index, set, query))
+            if (!repeated && this->isEligible(*set.views[index], index, set, query))
                 eligible.push_back(index);
         }
         if (!eligible.empty())
             return eligible;
     }
     for (std::size_t index = 0; index < set.ids.size(); ++index) {
-        if (this->mayTake(*set.views[index], index, set, query))
+        if (this->isEligible(*set.views[index], index, set, query))
             eligible.push_back(index);
     }
     return eligible;
 }
 
-std::optional<std::size_t> Fleet::baselineChoice(const Watched &set, const ChoiceQuery &query,
+std::optional<std::size_t> Fleet::baselineChoice(const WatchedEngines &set,
+                                                 const ChoiceQuery &query,
                                                  const std::vector<std::size_t> &eligible)
 {
     switch (this->policy.placement) {
@@ -231,7 +233,7 @@
         return eligible[this->nextRoundRobin++ % eligible.size()];
     case Placement::LeastOutstanding:
         return *std::ranges::min_element(eligible, {}, [&set](std::size_t index) {
-            return set.views[index]->outstanding();
+            return set.views[index]->outstandingRequests();
         });
     case Placement::PrefixAffinity:
         break;
@@ -263,42 +265,43 @@
               });
 }
 
-double Fleet::decayed(const LongDemand &demand, state::Instant now) const
+double Fleet::decayedRate(const LongDemand &demand, state::Instant now) const
 {
     return demand.rate
-           * std::exp(-toSeconds(now - demand.at) / this->policy.passes.demandMemorySeconds);
+           * std::exp(-toSeconds(now - demand.updatedAt)
+                      / this->policy.passes.demandAveragingSeconds);
 }
 
 void Fleet::notePause(const state::ModelName &model, state::Duration pause, state::Instant now)
 {
     if (pause <= state::Duration(0))
         return;
-    AskedPauses &pauses = this->askedPauses[model];
+    ToleratedPauses &pauses = this->toleratedPauses[model];
     const state::Duration before =
-            pauses.last.empty() ? state::Duration(0) : pauses.last.begin()->first;
-    pauses.last[pause] = now;
-    std::erase_if(pauses.last,
+            pauses.lastRequested.empty() ? state::Duration(0) : pauses.lastRequested.begin()->first;
+    pauses.lastRequested[pause] = now;
+    std::erase_if(pauses.lastRequested,
                   [now](const auto &each) { return each.second + pauseLifetime < now; });
-    const state::Duration tightest = pauses.last.begin()->first;
+    const state::Duration tightest = pauses.lastRequested.begin()->first;
     if (tightest != before)
-        pauses.terms = this->policy.passes.withTightestPause(toSeconds(tightest));
+        pauses.settings = this->policy.passes.withTightestPause(toSeconds(tightest));
 }
 
-const PassPlacementSettings &Fleet::passTerms(const state::ModelName &model) const
+const PassPlacementSettings &Fleet::passSettings(const state::ModelName &model) const
 {
-    const auto found = this->askedPauses.find(model);
-    return found == this->askedPauses.end() ? this->policy.passes : found->second.terms;
+    const auto found = this->toleratedPauses.find(model);
+    return found == this->toleratedPauses.end() ? this->policy.passes : found->second.settings;
 }
 
 void Fleet::noteLongPrefill(const EngineView &engine, double seconds, state::Instant now)
 {
     for (const state::ModelName &model : engine.description().models) {
-        if (seconds <= this->passTerms(model).briefSeconds)
+        if (seconds <= this->passSettings(model).maxBriefPrefillSeconds)
             continue;
         LongDemand &demand = this->longDemand[model];
-        demand.rate =
-                this->decayed(demand, now) + seconds / this->policy.passes.demandMemorySeconds;
-        demand.at = now;
+        demand.rate = this->decayedRate(demand, now)
+                      + seconds / this->policy.passes.demandAveragingSeconds;
+        demand.updatedAt = now;
     }
 }
 
@@ -313,7 +316,7 @@
         view->advance(now);
     const auto demand = this->longDemand.find(model);
     if (demand != this->longDemand.end())
-        request.longDemand = this->decayed(demand->second, now);
+        request.longDemand = this->decayedRate(demand->second, now);
     return {found->second.ranked.begin(), found->second.ranked.end()};
 }
 
@@ -321,14 +324,14 @@
                                                 state::Instant now)
 {
     const std::vector<const EngineView *> views = this->rankedViews(model, request, now);
-    return placeByPasses(views, request, this->passTerms(model));
+    return placeByPasses(views, request, this->passSettings(model));
 }
 
-LongOutlook Fleet::longOutlook(const state::ModelName &model, PassRequest request,
-                               state::Instant now)
+LongPromptEstimate Fleet::estimateLongPrompt(const state::ModelName &model, PassRequest request,
+                                             state::Instant now)
 {
     const std::vector<const EngineView *> views = this->rankedViews(model, request, now);
-    return routing::longOutlook(views, request, this->passTerms(model));
+    return routing::estimateLongPrompt(views, request, this->passSettings(model));
 }
 
 bool Fleet::isLong(const state::ModelName &model, std::uint32_t promptTokens) const
@@ -340,19 +343,19 @@
         return view->profile().has_value();
     });
     return profiled != found->second.views.end()
-           && !isBrief(*(*profiled)->profile(), promptTokens, this->passTerms(model));
+           && !isBrief(*(*profiled)->profile(), promptTokens, this->passSettings(model));
 }
 
 void Fleet::noteDemand(const EngineView &engine, std::uint32_t promptTokens, double prefillTokens,
                        state::Instant now)
 {
-    this->split.note(promptTokens < this->policy.shortPromptTokens,
-                     engine.prefillSeconds(prefillTokens), now);
+    this->demandSplit.note(promptTokens < this->policy.shortPromptTokens,
+                           engine.prefillSeconds(prefillTokens), now);
 }
 
-std::size_t Fleet::longEngines(const state::ModelName &model) const
+std::size_t Fleet::longEngineCount(const state::ModelName &model) const
 {
-    return this->split.longEngines(this->watched(model).size());
+    return this->demandSplit.longEngineCount(this->watched(model).size());
 }
 
 std::vector<state::EndpointId> Fleet::spanEngines(const state::ModelName &model) const
@@ -360,10 +363,10 @@
     const auto found = this->byModel.find(model);
     if (found == this->byModel.end())
         return {};
-    const Watched &set = found->second;
+    const WatchedEngines &set = found->second;
     if (!this->policy.splitEngines)
         return set.ids;
-    const std::size_t longCount = this->split.longEngines(set.views.size());
+    const std::size_t longCount = this->demandSplit.longEngineCount(set.views.size());
     std::vector<state::EndpointId> longGroup;
     for (std::size_t index = 0; index < set.ids.size(); ++index) {
         if (set.rank[index] < longCount)
@@ -378,7 +381,7 @@
     return found == this->byModel.end() ? 0 : found->second.prefillRate;
 }
 
-bool Fleet::anyEngineHolds(const state::ModelName &model, std::uint64_t tokens) const
+bool Fleet::anyEngineFits(const state::ModelName &model, std::uint64_t tokens) const
 {
     const auto found = this->byModel.find(model);
     if (found == this->byModel.end())
--- a/src/coordination/routing/Fleet.h
+++ b/src/coordination/routing/Fleet.h
@@ -30,11 +30,11 @@
 {
     Prompt prompt;
     state::ModelName model;
-    std::uint32_t memoryTokens = 0; // must be free on the engine
-    bool ignoreQueueLimit = false;  // asks when the prompt could start, not whether it can now
-    state::FailureDomain avoid;     // of a lost attempt; chosen only if no other has room
+    std::uint32_t memoryTokens = 0;     // must be free on the engine
+    bool ignoreQueueLimit = false;      // asks when the prompt could start, not whether it can now
+    state::FailureDomain avoidedDomain; // of a lost attempt; chosen only if no other has room
     // Engine of a resumed stream or a reservation; other engines are excluded.
-    std::optional<state::EndpointId> only;
+    std::optional<state::EndpointId> requiredEngine;
 };
 
 struct Choice
@@ -58,7 +58,7 @@
     const EngineView *find(const state::EndpointId &engine) const;
     EngineView *find(EngineKey engine);
     // Reports that the work decodes or has ended, so that its helpers are done with it.
-    void helpOver(std::uint64_t work, WorkStage stage, state::Instant now);
+    void completeHelperWork(std::uint64_t work, WorkStage stage, state::Instant now);
     std::size_t size() const { return this->engines.size(); }
 
     // Returns the engines of the model that this entry watches, highest rendezvous score first.
@@ -72,7 +72,8 @@
     bool worksInPasses(const state::ModelName &model) const;
     std::optional<PassChoice> chooseByPasses(const state::ModelName &model, PassRequest request,
                                              state::Instant now);
-    LongOutlook longOutlook(const state::ModelName &model, PassRequest request, state::Instant now);
+    LongPromptEstimate estimateLongPrompt(const state::ModelName &model, PassRequest request,
+                                          state::Instant now);
     // Returns whether the prompt is long for the model's engines; false if none declares a profile.
     bool isLong(const state::ModelName &model, std::uint32_t promptTokens) const;
     // Records the pause between two events that a caller of the model accepts. It expires if no
@@ -88,17 +89,17 @@
                     state::Instant now);
     // Returns how many engines of the model, the first in the fleet-wide order, take longer
     // prompts. The others take short ones.
-    std::size_t longEngines(const state::ModelName &model) const;
+    std::size_t longEngineCount(const state::ModelName &model) const;
     // Returns the watched engines that ranges of spans may use: those for longer prompts.
     std::vector<state::EndpointId> spanEngines(const state::ModelName &model) const;
 
     // Returns the total of the watched engines, in tokens per second.
     double prefillRate(const state::ModelName &model) const;
     // Returns whether the memory of an engine that is not draining is large enough for the tokens.
-    bool anyEngineHolds(const state::ModelName &model, std::uint64_t tokens) const;
+    bool anyEngineFits(const state::ModelName &model, std::uint64_t tokens) const;
 
 private:
-    struct Watched
+    struct WatchedEngines
     {
         std::vector<state::EndpointId> ids; // by descending score, at most policy.watchedEngines
         std::vector<EngineView *> views;    // the same engines; unordered_map keeps their addresses
@@ -110,28 +111,28 @@
     struct LongDemand
     {
         double rate = 0; // at updatedAt
-        state::Instant at;
+        state::Instant updatedAt;
     };
 
     // The pauses that callers of one model accept.
-    struct AskedPauses
+    struct ToleratedPauses
     {
         // Time of the last request for each pause; at most one pause per route.
-        std::map<state::Duration, state::Instant> last;
-        PassPlacementSettings terms; // adapted to the tightest pause
+        std::map<state::Duration, state::Instant> lastRequested;
+        PassPlacementSettings settings; // adapted to the tightest pause
     };
 
-    double decayed(const LongDemand &demand, state::Instant now) const;
-    const PassPlacementSettings &passTerms(const state::ModelName &model) const;
+    double decayedRate(const LongDemand &demand, state::Instant now) const;
+    const PassPlacementSettings &passSettings(const state::ModelName &model) const;
     std::vector<const EngineView *> rankedViews(const state::ModelName &model, PassRequest &request,
                                                 state::Instant now);
     void rebuild();
-    bool mayTake(const EngineView &view, std::size_t index, const Watched &set,
-                 const ChoiceQuery &query) const;
-    std::optional<Choice> best(const Watched &set, const ChoiceQuery &query,
-                               const std::vector<std::size_t> &eligible);
-    std::vector<std::size_t> candidates(const Watched &set, const ChoiceQuery &query);
-    std::optional<std::size_t> baselineChoice(const Watched &set, const ChoiceQuery &query,
+    bool isEligible(const EngineView &view, std::size_t index, const WatchedEngines &set,
+                    const ChoiceQuery &query) const;
+    std::optional<Choice> cheapest(const WatchedEngines &set, const ChoiceQuery &query,
+                                   const std::vector<std::size_t> &eligible);
+    std::vector<std::size_t> eligibleEngines(const WatchedEngines &set, const ChoiceQuery &query);
+    std::optional<std::size_t> baselineChoice(const WatchedEngines &set, const ChoiceQuery &query,
                                               const std::vector<std::size_t> &eligible);
 
     std::string entry;
@@ -140,11 +141,11 @@
     std::mt19937_64 random;
     std::unordered_map<state::EndpointId, EngineView> engines;
     std::map<EngineKey, EngineView *> byKey; // into `engines`
-    std::map<state::ModelName, Watched> byModel;
+    std::map<state::ModelName, WatchedEngines> byModel;
     std::map<state::ModelName, LongDemand> longDemand;
-    std::map<state::ModelName, AskedPauses> askedPauses;
+    std::map<state::ModelName, ToleratedPauses> toleratedPauses;
     std::uint64_t nextRoundRobin;
-    DemandSplit split;
+    DemandSplit demandSplit;
 };
 
 } // namespace lavenderthread::coordination::routing
--- a/src/coordination/routing/LongPlacement.cpp
+++ b/src/coordination/routing/LongPlacement.cpp
@@ -21,13 +21,13 @@
     double capacity = 0;
     for (const PassCandidate &candidate : candidates) {
         const double engineCapacity = double(candidate.profile().kvCapacityTokens);
-        answers += candidate.longs;
+        answers += candidate.longRequests;
         memory += engineCapacity - std::min(engineCapacity, double(candidate.view->freeTokens()));
         capacity += engineCapacity;
     }
     const double engineMemory =
             capacity / double(candidates.size()) * settings.answeringMemoryShare;
-    const double byPlaces = double(answers) / settings.longPerEngine;
+    const double byPlaces = double(answers) / settings.longRequestsPerEngine;
     const double byMemory = engineMemory > 0 ? memory / engineMemory : 0;
     const auto wanted = std::size_t(std::ceil(std::max(byPlaces, byMemory)));
     return std::clamp(wanted, std::size_t(1), candidates.size() - 1);
@@ -46,9 +46,10 @@
         const PassCandidate &candidate = candidates[index];
         if (memoryShared ? !candidate.hasSlot() : !candidate.hasRoom(request))
             continue;
-        double cost = candidate.crowding();
-        cost += candidate.briefs > 0 ? settings.besideTightSeconds : 0;
-        cost += index + answeringCount < candidates.size() ? settings.outsideAnsweringSeconds : 0;
+        double cost = candidate.loadSeconds();
+        cost += candidate.briefRequests > 0 ? settings.tightPauseCostSeconds : 0;
+        cost += index + answeringCount < candidates.size() ? settings.outsideAnsweringCostSeconds
+                                                           : 0;
         if (cost < bestCost) {
             best = &candidate;
             bestCost = cost;
@@ -75,18 +76,18 @@
 // the first should be done, and a third only when one of them is known to be done.
 bool mayHelp(const PassCandidate &candidate, const PassPlacementSettings &settings)
 {
-    return candidate.helped < settings.partsPerHelper && candidate.pending == 0
-           && candidate.waiting <= settings.startWaitingSeconds;
+    return candidate.helperParts < settings.maxPartsPerHelper && candidate.pendingRequests == 0
+           && candidate.waitingSeconds <= settings.startWaitingSeconds;
 }
 
 // Returns the cost of long prefill on this engine in seconds, excluding the prefill time itself.
 double longPrefillCost(const PassCandidate &candidate, const PassPlacementSettings &settings)
 {
     double cost = 0;
-    if (candidate.briefs > 0)
-        cost += settings.besideTightSeconds;
-    if (candidate.answers > 0)
-        cost += settings.besideDecodingPasses * candidate.passSeconds();
+    if (candidate.briefRequests > 0)
+        cost += settings.tightPauseCostSeconds;
+    if (candidate.answeredRequests > 0)
+        cost += settings.decodingDelayPasses * candidate.passSeconds();
     return cost;
 }
 
@@ -99,7 +100,8 @@
     for (const PassCandidate &candidate : candidates) {
         if (&candidate == &answering || !mayHelp(candidate, settings))
             continue;
-        helpers.push_back({&candidate, candidate.waiting + longPrefillCost(candidate, settings)});
+        helpers.push_back(
+                {&candidate, candidate.waitingSeconds + longPrefillCost(candidate, settings)});
     }
     std::ranges::stable_sort(helpers, {}, &Helper::cost);
     return helpers;
@@ -118,7 +120,7 @@
     double left = double(request.memoryTokens) - ownMemory;
     std::vector<MemoryShare> shares;
     for (const Helper &helper : helpers) {
-        if (left <= 0 || shares.size() == settings.mostMemoryHelpers)
+        if (left <= 0 || shares.size() == settings.maxMemoryHelpers)
             break;
         const double room = double(helper.candidate->view->freeTokens()) * settings.memoryShare;
         const double taken = std::min(left, room);
@@ -144,7 +146,8 @@
 // prompt.
 bool fitsPauses(const PassCandidate &candidate, double partSeconds)
 {
-    return candidate.waiting * candidate.speed + partSeconds <= candidate.bearable;
+    return candidate.waitingSeconds * candidate.prefillSpeed + partSeconds
+           <= candidate.prefillBudgetSeconds;
 }
 
 // Returns the first `count` helpers whose callers accept a part of that length, or fewer if there
@@ -171,11 +174,11 @@
                                                  const PassCandidate &answering, double seconds,
                                                  const PassPlacementSettings &settings)
 {
-    const double ownCost = answering.waiting + longPrefillCost(answering, settings);
+    const double ownCost = answering.waitingSeconds + longPrefillCost(answering, settings);
     std::optional<std::vector<Helper>> best;
     double bestCost = std::numeric_limits<double>::max();
     for (std::size_t count = requiredHelpers;
-         count <= std::min(helpers.size(), settings.mostHelpers); ++count) {
+         count <= std::min(helpers.size(), settings.maxHelpers); ++count) {
         const double partSeconds = seconds / double(count + 1);
         if (!fitsPauses(answering, partSeconds))
             continue;
@@ -186,7 +189,7 @@
         double latest = ownCost;
         for (const Helper &helper : chosen)
             latest = std::max(latest, helper.cost);
-        const double cost = latest + partSeconds + settings.helperSeconds * double(count);
+        const double cost = latest + partSeconds + settings.helperCostSeconds * double(count);
         if (cost >= bestCost)
             continue;
         bestCost = cost;
@@ -202,11 +205,11 @@
 bool enoughFree(std::size_t free, std::size_t engines, double seconds, const PassRequest &request,
                 const PassPlacementSettings &settings)
 {
-    if (seconds / double(free + 1) <= request.firstTargetSeconds * settings.startPartShare)
+    if (seconds / double(free + 1) <= request.firstEventTargetSeconds * settings.startPartShare)
         return true;
     // From this number on, one more helper costs more than it saves.
-    const double worthwhileHelpers = std::sqrt(seconds / settings.helperSeconds) - 1;
-    const double wanted = settings.startShare * double(engines);
+    const double worthwhileHelpers = std::sqrt(seconds / settings.helperCostSeconds) - 1;
+    const double wanted = settings.startEngineShare * double(engines);
     return double(free) >= std::min(std::max(worthwhileHelpers, 0.0), wanted) - 1;
 }
 
@@ -216,17 +219,18 @@
                                           double partSeconds, const PassRequest &request,
                                           const PassPlacementSettings &settings)
 {
-    const double longestPass = settings.besideBriefPauseShare * settings.tightestPauseSeconds;
+    const double longestPass = settings.briefEnginePauseShare * settings.tightestPauseSeconds;
     const PassCandidate *best = nullptr;
     for (const PassCandidate &candidate : briefGroup) {
-        const double slots = settings.briefPlaceShareCrowded * candidate.profile().slots;
-        if (!candidate.hasRoom(request) || double(candidate.longs) >= settings.longsBesideBriefs
-            || double(candidate.answers) >= slots)
+        const double slots = settings.briefSlotShareCrowded * candidate.profile().slots;
+        if (!candidate.hasRoom(request)
+            || double(candidate.longRequests) >= settings.longRequestsPerBriefEngine
+            || double(candidate.answeredRequests) >= slots)
             continue;
         const double pass = candidate.passSecondsWith(request);
-        if (pass + candidate.waiting + partSeconds > longestPass)
+        if (pass + candidate.waitingSeconds + partSeconds > longestPass)
             continue;
-        if (best == nullptr || candidate.crowding() < best->crowding())
+        if (best == nullptr || candidate.loadSeconds() < best->loadSeconds())
             best = &candidate;
     }
     return best;
@@ -246,7 +250,7 @@
     const bool memoryShared = answering == nullptr;
     if (memoryShared)
         answering = answeringEngine(candidates, answeringCount, true, request, settings);
-    if (answering == nullptr || answering->ownWaiting > settings.startOwnWaitingSeconds)
+    if (answering == nullptr || answering->ownWaitingSeconds > settings.startOwnWaitingSeconds)
         return std::nullopt;
     std::vector<Helper> helpers = freeHelpers(candidates, *answering, settings);
     if (!enoughFree(helpers.size(), candidates.size(), seconds, request, settings))
@@ -267,10 +271,10 @@
                          : answeringBriefEngine(briefGroup, choice.partSeconds, request, settings);
     if (beside != nullptr)
         answering = beside;
-    double waiting = answering->waiting;
+    double waiting = answering->waitingSeconds;
     for (const Helper &helper : *chosen) {
         choice.helpers.push_back(helper.id());
-        waiting = std::max(waiting, helper.candidate->waiting);
+        waiting = std::max(waiting, helper.candidate->waitingSeconds);
     }
     return completeChoice(std::move(choice), *answering, waiting, request);
 }
@@ -288,16 +292,17 @@
     if (candidates.empty())
         return std::nullopt;
     std::vector<PassCandidate> withFewBriefs;
-    std::ranges::copy_if(
-            candidates, std::back_inserter(withFewBriefs),
-            [&](const PassCandidate &each) { return each.briefs <= settings.fewBriefs; });
+    std::ranges::copy_if(candidates, std::back_inserter(withFewBriefs),
+                         [&](const PassCandidate &each) {
+                             return each.briefRequests <= settings.ignoredBriefRequests;
+                         });
     if (!withFewBriefs.empty()) {
         std::optional<PassChoice> choice = placeAmong(withFewBriefs, briefGroup, request, settings);
         if (choice || withFewBriefs.size() == candidates.size())
             return choice;
     }
     std::optional<PassChoice> choice = placeAmong(candidates, briefGroup, request, settings);
-    const bool fits = choice && choice->partSeconds <= settings.besideTightPart;
+    const bool fits = choice && choice->partSeconds <= settings.tightPauseMaxPartSeconds;
     return fits || withFewBriefs.empty() ? choice : std::nullopt;
 }
 
