--- a/src/coordination/routing/PassCandidate.cpp
+++ b/src/coordination/routing/PassCandidate.cpp
@@ -12,24 +12,26 @@
     PassCandidate candidate;
     candidate.view = &view;
     candidate.usable = !view.suspected;
-    candidate.speed = view.prefillSpeed();
-    candidate.waiting = view.prefillSecondsLeft() / candidate.speed;
-    for (const Resident &resident : view.residents()) {
-        if (resident.helping) {
-            candidate.helped += resident.decoding ? 0 : 1;
+    candidate.prefillSpeed = view.prefillTimeShare();
+    candidate.waitingSeconds = view.prefillSecondsLeft() / candidate.prefillSpeed;
+    for (const ResidentWork &resident : view.residentWork()) {
+        if (resident.isHelperWork) {
+            candidate.helperParts += resident.decoding ? 0 : 1;
             continue;
         }
-        ++candidate.answers;
-        candidate.pending += resident.decoding ? 0 : 1;
-        candidate.ownWaiting += view.prefillSeconds(resident.prefillLeft);
-        candidate.context += resident.promptTokens;
-        const bool tight = resident.pauseSeconds > 0 && settings.isTight(resident.pauseSeconds);
-        ++(tight ? candidate.briefs : candidate.longs);
-        if (!tight && resident.pauseSeconds > 0)
-            candidate.bearable = std::min(candidate.bearable, resident.pauseSeconds);
+        ++candidate.answeredRequests;
+        candidate.pendingRequests += resident.decoding ? 0 : 1;
+        candidate.ownWaitingSeconds += view.prefillSeconds(resident.prefillLeft);
+        candidate.contextTokens += resident.promptTokens;
+        const bool tight = resident.toleratedPauseSeconds > 0
+                           && settings.isTight(resident.toleratedPauseSeconds);
+        ++(tight ? candidate.briefRequests : candidate.longRequests);
+        if (!tight && resident.toleratedPauseSeconds > 0)
+            candidate.prefillBudgetSeconds =
+                    std::min(candidate.prefillBudgetSeconds, resident.toleratedPauseSeconds);
     }
-    if (candidate.longs > 0)
-        candidate.bearable -= candidate.passSeconds();
+    if (candidate.longRequests > 0)
+        candidate.prefillBudgetSeconds -= candidate.passSeconds();
     return candidate;
 }
 
@@ -37,19 +39,20 @@
 
 double PassCandidate::passSeconds() const
 {
-    return state::routes::decodePassSeconds(this->profile(), double(this->answers), this->context);
+    return state::routes::decodePassSeconds(this->profile(), double(this->answeredRequests),
+                                            this->contextTokens);
 }
 
 double PassCandidate::passSecondsWith(const PassRequest &request) const
 {
-    return state::routes::decodePassSeconds(this->profile(), double(this->answers + 1),
-                                            this->context + request.promptTokens);
+    return state::routes::decodePassSeconds(this->profile(), double(this->answeredRequests + 1),
+                                            this->contextTokens + request.promptTokens);
 }
 
-double PassCandidate::crowding() const
+double PassCandidate::loadSeconds() const
 {
     constexpr double secondsPerAnswer = 0.02;
-    return this->waiting + secondsPerAnswer * double(this->answers);
+    return this->waitingSeconds + secondsPerAnswer * double(this->answeredRequests);
 }
 
 std::vector<PassCandidate> passCandidates(const std::vector<const EngineView *> &engines,
@@ -82,9 +85,9 @@
     const state::routes::EngineProfile &profile = answering.profile();
     choice.engine = answering.view->description().id;
     choice.waitingSeconds = waiting;
-    choice.firstEventSeconds = waiting + choice.partSeconds / answering.speed
+    choice.firstEventSeconds = waiting + choice.partSeconds / answering.prefillSpeed
                                + firstEventPassSeconds(answering, request);
-    const double events = std::ceil(request.outputTokens / profile.stridePerPass);
+    const double events = std::ceil(request.outputTokens / profile.stepsPerPass);
     choice.completionSeconds =
             choice.firstEventSeconds + events * answering.passSecondsWith(request);
     return choice;
--- a/src/coordination/routing/PassCandidate.h
+++ b/src/coordination/routing/PassCandidate.h
@@ -10,22 +10,22 @@
 struct PassCandidate
 {
     const EngineView *view = nullptr;
-    double speed = 1;        // engine seconds of prefill per second, beside its decoding
-    double waiting = 0;      // seconds until the waiting prefill is done
-    double ownWaiting = 0;   // engine seconds of it for requests that this engine answers
-    double context = 0;      // prompt tokens of the requests that it answers
-    std::size_t answers = 0; // requests that it answers
-    std::size_t briefs = 0;  // requests among them with a tight pause
-    std::size_t longs = 0;   // the other ones among them
-    std::size_t helped = 0;  // parts for other engines whose prompt has no first token yet
-    std::size_t pending = 0; // requests that it answers and that have no first token yet
+    double prefillSpeed = 1;          // engine seconds of prefill per second, beside its decoding
+    double waitingSeconds = 0;        // seconds until the waiting prefill is done
+    double ownWaitingSeconds = 0;     // engine seconds of it for requests that this engine answers
+    double contextTokens = 0;         // prompt tokens of the requests that it answers
+    std::size_t answeredRequests = 0; // requests that it answers
+    std::size_t briefRequests = 0;    // requests among them with a tight pause
+    std::size_t longRequests = 0;     // the other ones among them
+    std::size_t helperParts = 0;      // parts for other engines whose prompt has no first token yet
+    std::size_t pendingRequests = 0;  // requests that it answers and that have no first token yet
     // Seconds of prefill that one pass may contain before a caller whose answer is decoded here
     // sees a longer pause than it accepts. Callers with tight pauses are not counted.
-    double bearable = std::numeric_limits<double>::max();
+    double prefillBudgetSeconds = std::numeric_limits<double>::max();
     bool usable = false;
 
     const state::routes::EngineProfile &profile() const { return *this->view->profile(); }
-    bool hasSlot() const { return this->answers < this->profile().slots; }
+    bool hasSlot() const { return this->answeredRequests < this->profile().slots; }
     bool hasRoom(const PassRequest &request) const
     {
         return this->hasSlot() && this->view->freeTokens() >= request.memoryTokens;
@@ -35,7 +35,7 @@
     double passSecondsWith(const PassRequest &request) const;
     // Load in seconds: the waiting prefill, which delays a new request directly, plus a cost for
     // each request answered, which lengthens the passes and may be joined by more prefill.
-    double crowding() const;
+    double loadSeconds() const;
 };
 
 // Returns the engines that may receive the request, in the given order. Suspected engines are left
--- a/src/coordination/routing/PassPlacement.cpp
+++ b/src/coordination/routing/PassPlacement.cpp
@@ -21,20 +21,20 @@
     for (const PassCandidate &candidate : candidates) {
         if (!candidate.hasRoom(request))
             continue;
-        least = std::min(least, candidate.crowding());
+        least = std::min(least, candidate.loadSeconds());
         leastLoaded.push_back(&candidate);
     }
     std::erase_if(leastLoaded, [&](const PassCandidate *each) {
-        return each->crowding() > least + equalLoadSeconds;
+        return each->loadSeconds() > least + equalLoadSeconds;
     });
-    return leastLoaded.empty() ? nullptr : leastLoaded[request.draw % leastLoaded.size()];
+    return leastLoaded.empty() ? nullptr : leastLoaded[request.tieBreaker % leastLoaded.size()];
 }
 
 PassChoice briefChoice(const PassCandidate &engine, const PassRequest &request)
 {
     PassChoice choice;
     choice.partSeconds = state::routes::prefillSeconds(engine.profile(), request.promptTokens);
-    return completeChoice(std::move(choice), engine, engine.waiting, request);
+    return completeChoice(std::move(choice), engine, engine.waitingSeconds, request);
 }
 
 // Selects the least loaded engine of the brief group. Falls back to all engines if the group has no
@@ -44,15 +44,15 @@
                                      std::size_t border, const PassRequest &request,
                                      const PassPlacementSettings &settings)
 {
-    const PassCandidate *best =
-            drawLeastLoaded(std::span(candidates).first(border), request, settings.evenSeconds);
+    const PassCandidate *best = drawLeastLoaded(std::span(candidates).first(border), request,
+                                                settings.equalLoadSeconds);
     if (best != nullptr) {
         const PassChoice choice = briefChoice(*best, request);
-        const double latestFirstEvent = request.firstTargetSeconds * settings.briefBusyShare;
+        const double latestFirstEvent = request.firstEventTargetSeconds * settings.briefTargetShare;
         if (latestFirstEvent <= 0 || choice.firstEventSeconds <= latestFirstEvent)
             return choice;
     }
-    best = drawLeastLoaded(candidates, request, settings.evenSeconds);
+    best = drawLeastLoaded(candidates, request, settings.equalLoadSeconds);
     if (best == nullptr)
         return std::nullopt;
     return briefChoice(*best, request);
@@ -68,38 +68,38 @@
 }
 
 // Fills in everything except waitingSeconds.
-PassLook takeSnapshot(const std::vector<PassCandidate> &candidates, const PassRequest &request,
-                      const PassPlacementSettings &settings)
+PlacementSnapshot takeSnapshot(const std::vector<PassCandidate> &candidates,
+                               const PassRequest &request, const PassPlacementSettings &settings)
 {
-    PassLook snapshot;
+    PlacementSnapshot snapshot;
     snapshot.engines = candidates.size();
     snapshot.longDemand = request.longDemand;
     for (const PassCandidate &candidate : candidates)
-        snapshot.briefs += candidate.briefs;
+        snapshot.briefRequests += candidate.briefRequests;
     BriefLoad load;
     load.engines = snapshot.engines;
-    load.places = candidates.empty() ? 0 : candidates.front().profile().slots;
-    load.briefs = snapshot.briefs;
+    load.slotsPerEngine = candidates.empty() ? 0 : candidates.front().profile().slots;
+    load.briefRequests = snapshot.briefRequests;
     load.longDemand = snapshot.longDemand;
-    snapshot.briefEngines = briefEngines(load, settings);
+    snapshot.briefEngines = briefEngineCount(load, settings);
     return snapshot;
 }
 
 } // namespace
 
-std::size_t briefEngines(const BriefLoad &load, const PassPlacementSettings &settings)
+std::size_t briefEngineCount(const BriefLoad &load, const PassPlacementSettings &settings)
 {
     if (load.engines < 2)
         return load.engines;
     const auto enginesFor = [&](double placeShare) {
-        const double perEngine = std::max(1.0, placeShare * load.places);
-        return std::size_t(std::ceil(double(load.briefs + 1) / perEngine));
+        const double perEngine = std::max(1.0, placeShare * load.slotsPerEngine);
+        return std::size_t(std::ceil(double(load.briefRequests + 1) / perEngine));
     };
-    const auto longEngines = std::size_t(std::ceil(load.longDemand / settings.longSecondsPerEngine
-                                                   + settings.longEnginesBeside));
+    const auto longEngines = std::size_t(
+            std::ceil(load.longDemand / settings.longSecondsPerEngine + settings.extraLongEngines));
     const std::size_t left = load.engines > longEngines ? load.engines - longEngines : 0;
-    const std::size_t preferred = enginesFor(settings.briefPlaceShare);
-    const std::size_t minimum = enginesFor(settings.briefPlaceShareCrowded);
+    const std::size_t preferred = enginesFor(settings.briefSlotShare);
+    const std::size_t minimum = enginesFor(settings.briefSlotShareCrowded);
     const std::size_t chosen = preferred <= left ? preferred : std::max(minimum, left);
     return std::clamp(chosen, std::size_t(1), load.engines - 1);
 }
@@ -107,17 +107,18 @@
 bool isBrief(const state::routes::EngineProfile &profile, std::uint32_t promptTokens,
              const PassPlacementSettings &settings)
 {
-    return state::routes::prefillSeconds(profile, promptTokens) <= settings.briefSeconds;
+    return state::routes::prefillSeconds(profile, promptTokens) <= settings.maxBriefPrefillSeconds;
 }
 
 std::optional<PassChoice> placeByPasses(const std::vector<const EngineView *> &engines,
                                         const PassRequest &request,
                                         const PassPlacementSettings &settings)
 {
-    const std::vector<PassCandidate> candidates = passCandidates(engines, request.avoid, settings);
+    const std::vector<PassCandidate> candidates =
+            passCandidates(engines, request.failedEngines, settings);
     if (candidates.empty())
         return std::nullopt;
-    PassLook snapshot = takeSnapshot(candidates, request, settings);
+    PlacementSnapshot snapshot = takeSnapshot(candidates, request, settings);
     const std::size_t border = snapshot.briefEngines;
     const bool brief = isBrief(candidates.front().profile(), request.promptTokens, settings);
     std::optional<PassChoice> choice =
@@ -126,28 +127,30 @@
                               request, settings);
     if (choice) {
         snapshot.waitingSeconds = choice->waitingSeconds;
-        choice->look = snapshot;
+        choice->placementSnapshot = snapshot;
     }
     return choice;
 }
 
-LongOutlook longOutlook(const std::vector<const EngineView *> &engines, const PassRequest &request,
-                        const PassPlacementSettings &settings)
+LongPromptEstimate estimateLongPrompt(const std::vector<const EngineView *> &engines,
+                                      const PassRequest &request,
+                                      const PassPlacementSettings &settings)
 {
-    const std::vector<PassCandidate> candidates = passCandidates(engines, request.avoid, settings);
+    const std::vector<PassCandidate> candidates =
+            passCandidates(engines, request.failedEngines, settings);
     if (candidates.empty())
         return {};
-    LongOutlook estimate;
-    estimate.look = takeSnapshot(candidates, request, settings);
-    const std::span group = longGroup(candidates, estimate.look.briefEngines);
+    LongPromptEstimate estimate;
+    estimate.placementSnapshot = takeSnapshot(candidates, request, settings);
+    const std::span group = longGroup(candidates, estimate.placementSnapshot.briefEngines);
     estimate.engines = group.size();
     if (group.empty())
         return estimate;
     for (const PassCandidate &candidate : group)
-        estimate.backlogSeconds += candidate.waiting / double(group.size());
-    estimate.look.waitingSeconds = estimate.backlogSeconds;
+        estimate.backlogSeconds += candidate.waitingSeconds / double(group.size());
+    estimate.placementSnapshot.waitingSeconds = estimate.backlogSeconds;
     const PassCandidate &last = group.back(); // long requests are answered at the group's end
-    const std::size_t parts = std::min(group.size(), settings.mostHelpers + 1);
+    const std::size_t parts = std::min(group.size(), settings.maxHelpers + 1);
     estimate.engineSeconds = state::routes::prefillSeconds(last.profile(), request.promptTokens);
     PassChoice alone;
     alone.partSeconds = estimate.engineSeconds / double(parts);
--- a/src/coordination/routing/PassPlacement.h
+++ b/src/coordination/routing/PassPlacement.h
@@ -26,10 +26,10 @@
     std::uint32_t promptTokens = 0;
     double outputTokens = 0; // expected
     std::uint32_t memoryTokens = 0;
-    std::vector<state::EndpointId> avoid; // engines that have failed this request
-    double firstTargetSeconds = 0;        // requested time from now to the first event; 0: none
-    double longDemand = 0;  // long prefill from all entries, in engine seconds per second
-    std::uint64_t draw = 0; // random value that selects among equally loaded engines
+    std::vector<state::EndpointId> failedEngines; // engines that have failed this request
+    double firstEventTargetSeconds = 0; // requested time from now to the first event; 0: none
+    double longDemand = 0;        // long prefill from all entries, in engine seconds per second
+    std::uint64_t tieBreaker = 0; // random value that selects among equally loaded engines
 };
 
 // Memory to reserve at a helper for a prompt that exceeds the answering engine's free memory.
@@ -43,13 +43,13 @@
 
 // State of the fleet as a placement decision saw it. It is logged so that a wrong decision can be
 // traced to the state that it was based on.
-struct PassLook
+struct PlacementSnapshot
 {
-    std::size_t engines = 0;      // usable engines
-    std::size_t briefEngines = 0; // size of the group for brief requests
-    std::size_t briefs = 0;       // brief requests in progress
-    double longDemand = 0;        // see PassRequest
-    double waitingSeconds = 0;    // prefill ahead: of the choice, or the long group's average
+    std::size_t engines = 0;       // usable engines
+    std::size_t briefEngines = 0;  // size of the group for brief requests
+    std::size_t briefRequests = 0; // brief requests in progress
+    double longDemand = 0;         // see PassRequest
+    double waitingSeconds = 0;     // prefill ahead: of the choice, or the long group's average
 };
 
 // The engines selected for a request, and the predicted times.
@@ -62,31 +62,31 @@
     double waitingSeconds = 0;       // longest wait for earlier prefill at any of the engines
     double firstEventSeconds = 0;    // from now, as predicted
     double completionSeconds = 0;    // from now, as predicted
-    PassLook look;
+    PlacementSnapshot placementSnapshot;
 };
 
 // Estimate for a long prompt that arrives now, ahead of the prompts that wait at the entries.
-struct LongOutlook
+struct LongPromptEstimate
 {
     std::size_t engines = 0;      // in the group for long requests; 0: none is usable
     double backlogSeconds = 0;    // waiting prefill per engine, on average
     double prefillSeconds = 0;    // until the first event, with all permitted helpers idle
     double completionSeconds = 0; // from the first event to the last
     double engineSeconds = 0;     // of the whole prefill on one engine
-    PassLook look;
+    PlacementSnapshot placementSnapshot;
 };
 
 // Load that determines how many engines are reserved for brief requests.
 struct BriefLoad
 {
-    std::size_t engines = 0; // usable engines
-    std::size_t places = 0;  // requests that one engine answers at once
-    std::size_t briefs = 0;  // brief requests in progress
-    double longDemand = 0;   // see PassRequest
+    std::size_t engines = 0;        // usable engines
+    std::size_t slotsPerEngine = 0; // requests that one engine answers at once
+    std::size_t briefRequests = 0;  // brief requests in progress
+    double longDemand = 0;          // see PassRequest
 };
 
 // Returns the number of engines reserved for brief requests.
-std::size_t briefEngines(const BriefLoad &load, const PassPlacementSettings &settings);
+std::size_t briefEngineCount(const BriefLoad &load, const PassPlacementSettings &settings);
 
 // Returns whether the prompt is prefilled whole on one engine, next to requests that decode there.
 bool isBrief(const state::routes::EngineProfile &profile, std::uint32_t promptTokens,
@@ -100,7 +100,8 @@
                                         const PassPlacementSettings &settings);
 
 // Estimates the times of a long prompt; `engines` as for placeByPasses().
-LongOutlook longOutlook(const std::vector<const EngineView *> &engines, const PassRequest &request,
-                        const PassPlacementSettings &settings);
+LongPromptEstimate estimateLongPrompt(const std::vector<const EngineView *> &engines,
+                                      const PassRequest &request,
+                                      const PassPlacementSettings &settings);
 
 } // namespace lavenderthread::coordination::routing
--- a/src/coordination/routing/Prediction.cpp
+++ b/src/coordination/routing/Prediction.cpp
@@ -10,7 +10,7 @@
 double remainingStepSeconds(const EngineView &engine, const PolicySettings &policy)
 {
     bool decodes = false;
-    for (const Resident &resident : engine.residents()) {
+    for (const ResidentWork &resident : engine.residentWork()) {
         if (resident.prefillLeft > 0)
             return engine.prefillSeconds(policy.engineStepTokens) / 2;
         decodes = decodes || resident.decoding;
@@ -36,7 +36,7 @@
                            const PolicySettings &policy)
 {
     double cost = 0;
-    for (const Resident &resident : engine.residents()) {
+    for (const ResidentWork &resident : engine.residentWork()) {
         if (resident.promptTokens < policy.shortPromptTokens && resident.outputLeft > 0) {
             const double delay =
                     decodeDelay(engine, resident.outputLeft, ownPrefillSeconds, policy);
@@ -67,18 +67,18 @@
                              * policy.prefixBlockTokens,
                      std::max(0.0, prompt.prefillTokens - 1.0));
     const double ownPrefill = engine.prefillSeconds(prompt.prefillTokens - result.cachedTokens);
-    result.aheadSeconds = engine.secondsAhead(prompt.priority);
+    result.prefillSecondsAhead = engine.prefillSecondsAhead(prompt.priority);
     // If the limit on engine queues applied at each prompt's own priority, the longer medium
     // prompts would find every queue full, and the table rows that send them would lose their fair
     // share.
     const bool isShort = prompt.promptTokens < policy.shortPromptTokens;
     result.queueSeconds =
-            isShort ? result.aheadSeconds
-                    : engine.secondsAhead(std::max(prompt.priority, policy.queuePriority));
+            isShort ? result.prefillSecondsAhead
+                    : engine.prefillSecondsAhead(std::max(prompt.priority, policy.queuePriority));
     result.firstTokenSeconds = 2 * transferSeconds + remainingStepSeconds(engine, policy)
-                               + result.aheadSeconds + ownPrefill;
+                               + result.prefillSecondsAhead + ownPrefill;
 
-    const double laterPrefill = engine.prefillSecondsLeft() - result.aheadSeconds;
+    const double laterPrefill = engine.prefillSecondsLeft() - result.prefillSecondsAhead;
     const double ownDecodeDelay = decodeDelay(engine, prompt.outputTokens, laterPrefill, policy);
     result.completionSeconds = result.firstTokenSeconds
                                + prompt.outputTokens * engine.decodeStepSeconds() + ownDecodeDelay;
--- a/src/coordination/routing/Prediction.h
+++ b/src/coordination/routing/Prediction.h
@@ -23,11 +23,11 @@
 struct Prediction
 {
     double cachedTokens = 0;
-    double aheadSeconds = 0;      // prefill that runs before the prompt
-    double queueSeconds = 0;      // the same, at one common priority for all medium prompts
-    double firstTokenSeconds = 0; // from now
-    double completionSeconds = 0; // from now
-    double cost = 0;              // weighted sum of normalised delays, own and of others
+    double prefillSecondsAhead = 0; // prefill that runs before the prompt
+    double queueSeconds = 0;        // the same, at one common priority for all medium prompts
+    double firstTokenSeconds = 0;   // from now
+    double completionSeconds = 0;   // from now
+    double cost = 0;                // weighted sum of normalised delays, own and of others
 };
 
 // Time to first token on an idle engine with an empty cache.
--- a/src/coordination/routing/PrefixIndex.cpp
+++ b/src/coordination/routing/PrefixIndex.cpp
@@ -10,7 +10,7 @@
 
 } // namespace
 
-std::vector<std::uint64_t> chainPrefixBlocks(std::string_view prompt, std::uint32_t blockTokens)
+std::vector<std::uint64_t> hashPrefixBlocks(std::string_view prompt, std::uint32_t blockTokens)
 {
     const std::size_t blockBytes = blockTokens * bytesPerToken;
     std::vector<std::uint64_t> hashes;
@@ -50,14 +50,14 @@
             break;
         case CacheOperation::Cleared:
             this->blocks.clear();
-            this->order.clear();
+            this->recencyOrder.clear();
             break;
         }
     }
     this->nextSequence = std::max(this->nextSequence, sequence);
 }
 
-void PrefixIndex::expect(std::span<const std::uint64_t> expected)
+void PrefixIndex::addExpected(std::span<const std::uint64_t> expected)
 {
     for (const std::uint64_t block : expected)
         this->store(block);
@@ -78,7 +78,7 @@
 void PrefixIndex::clear()
 {
     this->blocks.clear();
-    this->order.clear();
+    this->recencyOrder.clear();
     this->nextSequence = 0;
     this->generation = 0;
 }
@@ -88,13 +88,14 @@
     const auto found = this->blocks.find(block);
     if (found != this->blocks.end()) {
         found->second.generation = this->generation;
-        this->order.splice(this->order.end(), this->order, found->second.place);
+        this->recencyOrder.splice(this->recencyOrder.end(), this->recencyOrder,
+                                  found->second.position);
         return;
     }
     if (this->blocks.size() >= this->capacity)
-        this->evict(this->order.front());
-    this->order.push_back(block);
-    this->blocks.emplace(block, Entry{this->generation, std::prev(this->order.end())});
+        this->evict(this->recencyOrder.front());
+    this->recencyOrder.push_back(block);
+    this->blocks.emplace(block, Entry{this->generation, std::prev(this->recencyOrder.end())});
 }
 
 void PrefixIndex::evict(std::uint64_t block)
@@ -102,7 +103,7 @@
     const auto found = this->blocks.find(block);
     if (found == this->blocks.end())
         return;
-    this->order.erase(found->second.place);
+    this->recencyOrder.erase(found->second.position);
     this->blocks.erase(found);
 }
 
--- a/src/coordination/routing/PrefixIndex.h
+++ b/src/coordination/routing/PrefixIndex.h
@@ -14,7 +14,7 @@
 // Returns chained hashes of the prompt's full blocks: each hash also covers the blocks before it,
 // so that equal hashes mean equal prefixes. The endpoint contract requires XXH64 and counts four
 // bytes as one token.
-std::vector<std::uint64_t> chainPrefixBlocks(std::string_view prompt, std::uint32_t blockTokens);
+std::vector<std::uint64_t> hashPrefixBlocks(std::string_view prompt, std::uint32_t blockTokens);
 
 enum class CacheOperation : std::uint8_t { Stored, Evicted, Cleared };
 
@@ -41,7 +41,7 @@
                std::span<const CacheEvent> events);
 
     // Adds the blocks of a prompt that was just dispatched to the engine, which will cache them.
-    void expect(std::span<const std::uint64_t> blocks);
+    void addExpected(std::span<const std::uint64_t> blocks);
 
     // Returns the number of leading blocks that the engine holds. A doubtful block counts as
     // doubtfulTrust.
@@ -54,7 +54,7 @@
     struct Entry
     {
         std::uint64_t generation;
-        std::list<std::uint64_t>::iterator place;
+        std::list<std::uint64_t>::iterator position;
     };
 
     void store(std::uint64_t block);
@@ -65,7 +65,7 @@
     std::uint64_t nextSequence = 0; // 0: no event of this incarnation yet
     std::uint64_t generation = 0;   // incremented by each gap; entries of older ones are doubtful
     std::unordered_map<std::uint64_t, Entry> blocks; // at most `capacity`
-    std::list<std::uint64_t> order; // least recently used first; same keys as `blocks`
+    std::list<std::uint64_t> recencyOrder; // least recently used first; same keys as `blocks`
 };
 
 } // namespace lavenderthread::coordination::routing
--- a/src/coordination/routing/ReplicaChooser.cpp
+++ b/src/coordination/routing/ReplicaChooser.cpp
@@ -31,7 +31,7 @@
         const ReplicaCandidate &candidate = candidates[index];
         const bool alreadyTried = std::ranges::find(tried, candidate.description.id) != tried.end();
         const std::tuple rank(alreadyTried, trustHealth && isStaleOrSuspect(candidate),
-                              this->loadOf(candidate.description.id, now),
+                              this->estimatedLoad(candidate.description.id, now),
                               std::uint64_t(this->random()));
         if (best && bestRank <= rank)
             continue;
@@ -41,41 +41,41 @@
     return best;
 }
 
-double ReplicaChooser::loadOf(const state::EndpointId &replica, state::Instant now) const
+double ReplicaChooser::estimatedLoad(const state::EndpointId &replica, state::Instant now) const
 {
     const auto found = this->replicas.find(replica);
     if (found == this->replicas.end())
         return 0;
-    const Known &known = found->second;
+    const ReplicaState &known = found->second;
     const bool fresh =
             known.reportedAt != state::Instant{} && now - known.reportedAt <= reportLifetime;
-    return known.outstanding + (fresh ? reportWeight * known.others : 0);
+    return known.ownCalls + (fresh ? reportWeight * known.otherCalls : 0);
 }
 
-void ReplicaChooser::began(const state::EndpointId &replica)
+void ReplicaChooser::callStarted(const state::EndpointId &replica)
 {
-    ++this->replicas[replica].outstanding;
+    ++this->replicas[replica].ownCalls;
 }
 
-void ReplicaChooser::ended(const state::EndpointDescription &replica, AttemptHealth outcome,
-                           state::Instant now)
+void ReplicaChooser::callEnded(const state::EndpointDescription &replica, AttemptOutcome outcome,
+                               state::Instant now)
 {
-    Known &known = this->replicas[replica.id];
-    if (known.outstanding > 0)
-        --known.outstanding;
-    this->health.note(replica.id, replica.incarnation, outcome, now);
-    this->health.forget(now);
+    ReplicaState &known = this->replicas[replica.id];
+    if (known.ownCalls > 0)
+        --known.ownCalls;
+    this->health.recordAttempt(replica.id, replica.incarnation, outcome, now);
+    this->health.removeInactive(now);
     std::erase_if(this->replicas, [&](const auto &each) {
-        return each.second.outstanding == 0 && each.second.reportedAt + reportLifetime < now;
+        return each.second.ownCalls == 0 && each.second.reportedAt + reportLifetime < now;
     });
 }
 
-void ReplicaChooser::reported(const state::EndpointId &replica, const ReplicaLoad &load,
-                              state::Instant now)
+void ReplicaChooser::loadReported(const state::EndpointId &replica, const ReplicaLoad &load,
+                                  state::Instant now)
 {
-    Known &known = this->replicas[replica];
+    ReplicaState &known = this->replicas[replica];
     const std::uint32_t all = load.running + load.waiting;
-    known.others = all > known.outstanding ? all - known.outstanding : 0;
+    known.otherCalls = all > known.ownCalls ? all - known.ownCalls : 0;
     known.reportedAt = now;
 }
 
--- a/src/coordination/routing/ReplicaChooser.h
+++ b/src/coordination/routing/ReplicaChooser.h
@@ -44,24 +44,25 @@
                                       const std::vector<state::EndpointId> &tried,
                                       state::Instant now);
 
-    void began(const state::EndpointId &replica);
-    void ended(const state::EndpointDescription &replica, AttemptHealth outcome,
-               state::Instant now);
-    void reported(const state::EndpointId &replica, const ReplicaLoad &load, state::Instant now);
+    void callStarted(const state::EndpointId &replica);
+    void callEnded(const state::EndpointDescription &replica, AttemptOutcome outcome,
+                   state::Instant now);
+    void loadReported(const state::EndpointId &replica, const ReplicaLoad &load,
+                      state::Instant now);
 
 private:
-    struct Known
+    struct ReplicaState
     {
-        std::uint32_t outstanding = 0; // calls of this entry
-        std::uint32_t others = 0;      // calls of other entries, as last reported
+        std::uint32_t ownCalls = 0;   // calls of this entry
+        std::uint32_t otherCalls = 0; // calls of other entries, as last reported
         state::Instant reportedAt;
     };
 
-    double loadOf(const state::EndpointId &replica, state::Instant now) const;
+    double estimatedLoad(const state::EndpointId &replica, state::Instant now) const;
 
     std::mt19937_64 random;
     EndpointHealth health;
-    std::map<state::EndpointId, Known> replicas;
+    std::map<state::EndpointId, ReplicaState> replicas;
 };
 
 } // namespace lavenderthread::coordination::routing
--- a/src/coordination/routing/SpanPlan.cpp
+++ b/src/coordination/routing/SpanPlan.cpp
@@ -53,7 +53,7 @@
     std::vector<AvailableEngine> candidates;
     for (const state::EndpointId &id : eligible) {
         EngineView *view = fleet.find(id);
-        if (view->draining || plan.uses(id))
+        if (view->draining || plan.usesEngine(id))
             continue;
         view->advance(now);
         candidates.push_back({view->prefillSecondsLeft(),
@@ -79,14 +79,14 @@
 
 std::optional<std::size_t> SpanPlan::nextToPrefill() const
 {
-    const auto found = std::ranges::find_if(this->parts,
-                                            [](const SpanPart &part) { return !part.complete(); });
+    const auto found = std::ranges::find_if(
+            this->parts, [](const SpanPart &part) { return !part.isPrefilled(); });
     if (found == this->parts.end())
         return std::nullopt;
     return std::size_t(found - this->parts.begin());
 }
 
-bool SpanPlan::uses(const state::EndpointId &engine) const
+bool SpanPlan::usesEngine(const state::EndpointId &engine) const
 {
     return std::ranges::find(this->parts, engine, &SpanPart::engine) != this->parts.end();
 }
@@ -121,8 +121,9 @@
     return std::nullopt;
 }
 
-bool replaceLost(SpanPlan &plan, const state::EndpointId &lost, Fleet &fleet,
-                 const state::ModelName &model, const PolicySettings &policy, state::Instant now)
+bool replaceLostEngine(SpanPlan &plan, const state::EndpointId &lost, Fleet &fleet,
+                       const state::ModelName &model, const PolicySettings &policy,
+                       state::Instant now)
 {
     for (SpanPart &part : plan.parts) {
         if (part.engine != lost)
--- a/src/coordination/routing/SpanPlan.h
+++ b/src/coordination/routing/SpanPlan.h
@@ -15,15 +15,15 @@
 struct SpanPart
 {
     state::EndpointId engine;
-    std::uint32_t from = 0; // first token
-    std::uint32_t to = 0;   // past the last token
-    std::uint32_t done = 0; // end of the prefilled tokens
-    bool reserved = false;  // a lease on the engine's memory, which expires unless renewed
+    std::uint32_t from = 0;        // first token
+    std::uint32_t to = 0;          // past the last token
+    std::uint32_t prefilledTo = 0; // end of the prefilled tokens
+    bool reserved = false;         // a lease on the engine's memory, which expires unless renewed
 
     // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy misreads the defaulted comparison
     auto operator<=>(const SpanPart &) const = default;
 
-    bool complete() const { return this->done >= this->to; }
+    bool isPrefilled() const { return this->prefilledTo >= this->to; }
 };
 
 struct SpanPlan
@@ -37,7 +37,7 @@
     std::optional<std::size_t> nextToReserve() const;
     // The first part in token order that is not yet prefilled.
     std::optional<std::size_t> nextToPrefill() const;
-    bool uses(const state::EndpointId &engine) const;
+    bool usesEngine(const state::EndpointId &engine) const;
 };
 
 // Splits the prompt over as few engines as possible, those with the most room first. The last
@@ -49,7 +49,8 @@
 
 // Moves the parts of a lost engine to other engines; the other parts keep their prefilled tokens.
 // Returns false if no other engine has room.
-bool replaceLost(SpanPlan &plan, const state::EndpointId &lost, Fleet &fleet,
-                 const state::ModelName &model, const PolicySettings &policy, state::Instant now);
+bool replaceLostEngine(SpanPlan &plan, const state::EndpointId &lost, Fleet &fleet,
+                       const state::ModelName &model, const PolicySettings &policy,
+                       state::Instant now);
 
 } // namespace lavenderthread::coordination::routing
--- a/src/coordination/routing/WorkNote.h
+++ b/src/coordination/routing/WorkNote.h
@@ -29,15 +29,15 @@
 struct WorkNote
 {
     WorkStage stage = WorkStage::Dispatched;
-    std::uint64_t work = 0; // hash of the request's id; unique in practice
+    std::uint64_t requestHash = 0; // hash of the request's id; unique in practice
 
     // For dispatched work, until it ends.
     EngineKey engine;
     bool hasHelpers = false; // other engines prefill a part of the prompt or hold memory for it
 
     // For waiting work.
-    state::Duration age{0};        // since arrival
-    state::Duration engineTime{0}; // needed for its prefill
+    state::Duration age{0};         // since arrival
+    state::Duration prefillTime{0}; // needed for its prefill
 
     // For Dispatched only: in later stages the receivers know them already.
     state::TableKey key;             // account and work class that the tokens are charged to
@@ -48,7 +48,8 @@
     std::uint32_t chargedTokens = 0; // charged to the key by this note
     std::uint8_t priority = 0;       // as sent to the engine; 0 is the most urgent
     state::Duration lifetime{0};     // until the deadline, after which receivers drop the work
-    state::Duration pause{0};       // the caller's longest tolerated gap between events; 0: unknown
+    state::Duration toleratedPause{
+            0};                     // the caller's longest tolerated gap between events; 0: unknown
     std::vector<EngineKey> helpers; // each of them also prefills prefillTokens of the prompt
     std::vector<std::uint32_t> helperMemory; // tokens reserved at the first helpers, in order
 
@@ -59,10 +60,10 @@
     template <typename Archive>
     void serialize(Archive &archive)
     {
-        archive(this->stage, this->work);
+        archive(this->stage, this->requestHash);
         if (this->stage == WorkStage::Waiting) {
             shortTime(archive, this->age);
-            shortTime(archive, this->engineTime);
+            shortTime(archive, this->prefillTime);
             return;
         }
         archive(this->engine.value, this->hasHelpers);
@@ -79,7 +80,7 @@
         archive(this->promptTokens, this->prefillTokens, this->outputTokens, this->memoryTokens,
                 this->chargedTokens, this->priority);
         shortTime(archive, this->lifetime);
-        shortTime(archive, this->pause);
+        shortTime(archive, this->toleratedPause);
         shortList(archive, this->helpers, [&archive](EngineKey &each) { archive(each.value); });
         shortList(archive, this->helperMemory, [&archive](std::uint32_t &each) { archive(each); });
     }
--- a/src/program/AnswerWriter.cpp
+++ b/src/program/AnswerWriter.cpp
@@ -15,25 +15,25 @@
     , next(firstOffset)
 {}
 
-AnswerWriter::Verdict AnswerWriter::take(const protocol::EngineLine &line,
-                                         const protocol::EventId &position)
+AnswerWriter::TakeResult AnswerWriter::take(const protocol::EngineLine &line,
+                                            const protocol::EventId &position)
 {
     // A resuming engine may send lines again, and lines of an abandoned attempt may still arrive.
     // Without this check the caller would get tokens twice or a mix of two answers.
     if (line.offset < this->next)
-        return Verdict::Repeated;
+        return TakeResult::Repeated;
     if (line.offset > this->next)
-        return Verdict::Gap;
+        return TakeResult::Gap;
     ++this->next;
     if (!this->body.stream) {
         this->pending += line.token;
-        return Verdict::Accepted;
+        return TakeResult::Accepted;
     }
     this->pending += "id: " + protocol::sealEventId(this->keys, position) + "\ndata: "
                      + protocol::completionChunk(this->body.kind, this->id,
                                                  this->body.model.value(), line.offset, line.token)
                      + "\n\n";
-    return Verdict::Accepted;
+    return TakeResult::Accepted;
 }
 
 asio::awaitable<bool> AnswerWriter::beginStream()
@@ -46,13 +46,13 @@
                     {"Cache-Control", "no-store"},
                     {"Request-Id", this->id}};
     const auto sent = co_await this->exchange.beginStream(std::move(head));
-    this->gone = !sent;
-    co_return !this->gone;
+    this->callerDisconnected = !sent;
+    co_return !this->callerDisconnected;
 }
 
 asio::awaitable<bool> AnswerWriter::flush()
 {
-    if (this->gone)
+    if (this->callerDisconnected)
         co_return false;
     if (!this->body.stream || this->pending.empty())
         co_return true;
@@ -60,8 +60,8 @@
         co_return false;
     const std::string piece = std::exchange(this->pending, {});
     const auto sent = co_await this->exchange.write(piece);
-    this->gone = !sent;
-    co_return !this->gone;
+    this->callerDisconnected = !sent;
+    co_return !this->callerDisconnected;
 }
 
 asio::awaitable<bool> AnswerWriter::finish(const std::string &finishReason)
@@ -72,8 +72,8 @@
         answer.body = protocol::completionAnswer(this->body, this->id, this->pending, this->next,
                                                  finishReason);
         const auto sent = co_await this->exchange.respond(std::move(answer));
-        this->gone = !sent;
-        co_return !this->gone;
+        this->callerDisconnected = !sent;
+        co_return !this->callerDisconnected;
     }
     this->pending += "data: "
                      + protocol::completionEnd(this->body.kind, this->id, this->body.model.value(),
@@ -82,19 +82,19 @@
     if (!co_await this->flush())
         co_return false;
     const auto sent = co_await this->exchange.finishStream();
-    this->gone = !sent;
-    co_return !this->gone;
+    this->callerDisconnected = !sent;
+    co_return !this->callerDisconnected;
 }
 
 asio::awaitable<void> AnswerWriter::fail(const protocol::Problem &problem)
 {
-    if (this->gone)
+    if (this->callerDisconnected)
         co_return;
     if (!this->streamBegun) {
         protocol::HttpResponse answer = protocol::toResponse(problem);
         answer.headers.add("Request-Id", this->id);
         const auto sent = co_await this->exchange.respond(std::move(answer));
-        this->gone = !sent;
+        this->callerDisconnected = !sent;
         co_return;
     }
     this->pending += "event: error\ndata: " + protocol::toJson(problem) + "\n\n";
--- a/src/program/AnswerWriter.h
+++ b/src/program/AnswerWriter.h
@@ -22,12 +22,12 @@
     // The offset that the next token must have to be accepted.
     std::uint64_t nextOffset() const { return this->next; }
     bool begun() const { return this->streamBegun; }
-    bool callerGone() const { return this->gone; }
+    bool isCallerDisconnected() const { return this->callerDisconnected; }
 
-    enum class Verdict { Accepted, Repeated, Gap };
+    enum class TakeResult { Accepted, Repeated, Gap };
     // Appends a token to the pending data. A repeated token is dropped. A gap means that tokens are
     // missing: nothing more may be taken, and the attempt must be resumed at nextOffset().
-    Verdict take(const protocol::EngineLine &line, const protocol::EventId &position);
+    TakeResult take(const protocol::EngineLine &line, const protocol::EventId &position);
 
     // Sends the pending data. False if the caller has disconnected.
     boost::asio::awaitable<bool> flush();
@@ -45,7 +45,7 @@
     std::uint64_t next;  // invariant: tokens 0…next-1 were taken or the caller has them
     std::string pending; // streaming: events not yet sent; otherwise: the text so far
     bool streamBegun = false;
-    bool gone = false;
+    bool callerDisconnected = false;
 };
 
 } // namespace lavenderthread::program
--- a/src/program/Caller.cpp
+++ b/src/program/Caller.cpp
@@ -158,7 +158,7 @@
 
     asio::awaitable<bool> readEvents(transport::HttpAnswerStream &stream)
     {
-        ServerSentEventReader reader;
+        ServerSentEventParser reader;
         while (true) {
             const auto piece = co_await stream.read(remaining(this->deadline));
             if (!piece || !piece.value()) {
--- a/src/program/Cluster.cpp
+++ b/src/program/Cluster.cpp
@@ -44,23 +44,24 @@
     chosen.gossip.description.failureDomain = settings.failureDomain;
     chosen.gossip.description.region = settings.region;
     chosen.gossip.seeds = settings.seeds;
-    chosen.gossip.failureDetector.probeInterval = settings.gossip.probe;
+    chosen.gossip.failureDetector.probeInterval = settings.gossip.probeInterval;
     chosen.gossip.failureDetector.suspicionFactor = settings.gossip.suspicionProbes;
     chosen.gossip.bytesPerSecond = settings.gossip.bytesPerSecond;
     chosen.gossip.randomSeed = XXH3_64bits(settings.vm.value().data(), settings.vm.value().size())
                                ^ chosen.gossip.incarnation;
     chosen.keys = settings.keys;
     chosen.listen = *settings.gossipListen;
-    chosen.endpointLife.renewAfter = settings.endpoint.renew;
-    chosen.endpointLife.expiresAfter = settings.endpoint.expire;
+    chosen.endpointLifecycle.renewAfter = settings.endpoint.renewInterval;
+    chosen.endpointLifecycle.expiresAfter = settings.endpoint.expireAfter;
     if (settings.relay.listen || settings.relay.operatorListen) {
-        chosen.endpointLife.renewAfter = settings.relay.heartbeat;
-        chosen.endpointLife.expiresAfter = settings.relay.heartbeat * heartbeatsUntilExpiry;
+        chosen.endpointLifecycle.renewAfter = settings.relay.heartbeatInterval;
+        chosen.endpointLifecycle.expiresAfter =
+                settings.relay.heartbeatInterval * heartbeatsUntilExpiry;
     }
     return chosen;
 }
 
-void logEndOfWork(const membership_::HeardEnd &end)
+void logEndOfWork(const membership_::EndOfWorkReport &end)
 {
     logEvent(LogLevel::Info, "endpoint.end-heard",
              {{"endpoint", end.endpoint.value()},
@@ -100,7 +101,7 @@
     : settings(settings)
     , registry(std::move(registry))
     , hooks(std::move(hooks))
-    , chooser(directory)
+    , entryDirectory(directory)
     , strand(asio::make_strand(context))
     , flushTimer(this->strand)
 {}
@@ -130,7 +131,7 @@
     serviceHooks.changed = [this](const MembershipView &view) { this->viewChanged(view); };
     serviceHooks.loadArrived = this->hooks.loadArrived;
     serviceHooks.superseded = this->hooks.superseded;
-    serviceHooks.endHeard = logEndOfWork;
+    serviceHooks.endOfWorkReported = logEndOfWork;
     serviceHooks.leaveAcknowledged = logLeave;
     serviceHooks.refused = [](const state::Error &error) { logError("gossip.refused", error); };
     BOOST_OUTCOME_TRY(this->membership,
@@ -141,7 +142,7 @@
                       transport::GossipSocket::create(
                               this->strand, this->settings.entry.listen,
                               [this](std::string_view datagram, const state::Address &) {
-                                  this->newsDatagram(datagram);
+                                  this->handlePeerUpdates(datagram);
                               },
                               transport::DatagramPace{this->settings.linkMbps * bytesPerMegabit
                                                               * newsLinkShare,
@@ -185,7 +186,7 @@
     request.account = account;
     request.callerFailureDomain = this->settings.failureDomain;
     request.requiredTableVersion = view->requiredTableVersion;
-    const auto answer = this->chooser.answer(request, *view->members);
+    const auto answer = this->entryDirectory.answer(request, *view->members);
     return {answer.addresses, std::chrono::ceil<std::chrono::milliseconds>(answer.timeToLive)};
 }
 
@@ -197,8 +198,8 @@
         if (!accepted)
             co_return accepted.error();
         this->hooks.endpointsChanged();
-        AnnounceAnswer alone{this->settings.endpoint.renew, this->settings.endpoint.expire,
-                             this->settings.entry.listen};
+        AnnounceAnswer alone{this->settings.endpoint.renewInterval,
+                             this->settings.endpoint.expireAfter, this->settings.entry.listen};
         co_return alone;
     }
     std::function<void(MembershipService::AnnounceHandler)> start =
@@ -267,9 +268,9 @@
     return found;
 }
 
-std::vector<coordination::consensus::Candidate> Cluster::controlCandidates() const
+std::vector<coordination::consensus::MemberCandidate> Cluster::controlCandidates() const
 {
-    std::vector<coordination::consensus::Candidate> found;
+    std::vector<coordination::consensus::MemberCandidate> found;
     if (!this->membership)
         return found;
     for (const auto &[id, member] : this->membership->view()->members->entries()) {
@@ -308,12 +309,12 @@
 }
 
 // Logs one line for each endpoint whose state in this process's view has changed.
-void Cluster::logBeliefs(const EndpointsView &endpoints)
+void Cluster::logEndpointChanges(const EndpointsView &endpoints)
 {
     for (const EndpointState &endpoint : endpoints.endpoints) {
         const coordination::endpoints::EndpointRecord &record = endpoint.record;
-        const Belief observed{record.incarnation, record.phase, record.drain.draining};
-        Belief &logged = this->loggedBeliefs[record.id];
+        const LoggedState observed{record.incarnation, record.phase, record.drain.draining};
+        LoggedState &logged = this->loggedStates[record.id];
         if (logged == observed)
             continue;
         logged = observed;
@@ -326,12 +327,12 @@
                   {"home", record.home.value()}});
     }
     const auto removed = [&](const auto &each) { return endpoints.find(each.first) == nullptr; };
-    std::erase_if(this->loggedBeliefs, removed);
+    std::erase_if(this->loggedStates, removed);
 }
 
 void Cluster::viewChanged(const MembershipView &view)
 {
-    this->logBeliefs(*view.endpoints);
+    this->logEndpointChanges(*view.endpoints);
     EndpointTable table;
     for (const EndpointState &endpoint : view.endpoints->endpoints) {
         using coordination::endpoints::EndpointPhase;
@@ -351,7 +352,7 @@
         this->hooks.endpointsChanged();
 }
 
-void Cluster::share(protocol::PeerNews news)
+void Cluster::share(protocol::PeerUpdate news)
 {
     if (!this->membership)
         return;
@@ -360,11 +361,11 @@
         // peers' view.
         if (self->pendingNews.size() < newsQueueLimit)
             self->pendingNews.push_back(std::move(news));
-        self->armFlush();
+        self->scheduleFlush();
     });
 }
 
-void Cluster::armFlush()
+void Cluster::scheduleFlush()
 {
     if (this->flushArmed)
         return;
@@ -380,7 +381,7 @@
 void Cluster::flush()
 {
     const auto datagrams =
-            protocol::sealPeerNews(this->settings.keys, std::exchange(this->pendingNews, {}));
+            protocol::sealPeerUpdates(this->settings.keys, std::exchange(this->pendingNews, {}));
     const auto view = this->membership->view();
     for (const auto &[id, member] : view->members->entries()) {
         if (id == this->settings.vm || !member.record.isLive()
@@ -396,9 +397,9 @@
 {
     const std::uint64_t lost = this->newsLost();
     const state::Instant now = monotonicNow();
-    if (lost == this->lostNewsLogged || now < this->lostNewsLoggedAt + newsLossLogInterval)
+    if (lost == this->loggedLostUpdates || now < this->lostNewsLoggedAt + newsLossLogInterval)
         return;
-    this->lostNewsLogged = lost;
+    this->loggedLostUpdates = lost;
     this->lostNewsLoggedAt = now;
     const transport::DatagramQueue &outgoing = this->newsSocket->outgoing();
     logEvent(LogLevel::Warning, "news.lost",
@@ -412,14 +413,14 @@
     return this->newsSocket->outgoing().dropped() + this->newsSocket->outgoing().refused();
 }
 
-void Cluster::newsDatagram(std::string_view datagram)
+void Cluster::handlePeerUpdates(std::string_view datagram)
 {
-    const auto news = protocol::unsealPeerNews(this->settings.keys, datagram);
+    const auto news = protocol::unsealPeerUpdates(this->settings.keys, datagram);
     if (!news) {
         logError("news.refused", news.error());
         return;
     }
-    for (const protocol::PeerNews &each : news.value())
+    for (const protocol::PeerUpdate &each : news.value())
         this->hooks.newsArrived(each);
 }
 
--- a/src/program/Cluster.h
+++ b/src/program/Cluster.h
@@ -9,7 +9,7 @@
 #include "program/Entry.h"
 #include "program/MembershipService.h"
 #include "program/Settings.h"
-#include "protocol/PeerNews.h"
+#include "protocol/PeerUpdate.h"
 #include "transport/GossipSocket.h"
 
 #include <boost/asio/io_context.hpp>
@@ -32,7 +32,7 @@
     {
         std::function<void()> endpointsChanged; // the registry has a new table
         std::function<void(const state::LoadReport &)> loadArrived;
-        std::function<void(const protocol::PeerNews &)> newsArrived;
+        std::function<void(const protocol::PeerUpdate &)> newsArrived;
         std::function<void()> superseded; // another process with this VM id has replaced this one
     };
 
@@ -59,7 +59,7 @@
     announce(state::EndpointDescription endpoint);
     void leave(const state::EndpointId &endpoint, std::uint64_t incarnation);
     // Complete when the deregistration is acknowledged; see MembershipService::leave. Errors as
-    // EndpointLife::leave.
+    // EndpointLifecycle::leave.
     boost::asio::awaitable<state::Result<void>> drain(state::EndpointDescription endpoint);
     boost::asio::awaitable<state::Result<void>> withdraw(state::EndpointId endpoint,
                                                          std::optional<std::uint64_t> incarnation);
@@ -67,14 +67,14 @@
     std::vector<state::Address> relays(const state::FailureDomain &callers) const;
     // The control members that are believed to be alive; those of the settings if there are none.
     std::vector<ControlMemberAddress> controlMembers() const;
-    std::vector<coordination::consensus::Candidate> controlCandidates() const;
+    std::vector<coordination::consensus::MemberCandidate> controlCandidates() const;
     // Whether that process of an entry is known to have ended: it is not live any more, or a later
     // process runs there. False for an entry that was removed from the table: nothing is known.
     bool hasEnded(const state::VmId &entry, std::uint64_t incarnation) const;
     void reportLoad(const state::LoadReport &report);
     void markDrain(const state::EndpointId &endpoint, state::log::LogPosition position,
                    bool draining);
-    void share(protocol::PeerNews news);
+    void share(protocol::PeerUpdate news);
     // Peer news datagrams that were never sent, since the start. Any thread.
     std::uint64_t newsLost() const;
 
@@ -89,33 +89,33 @@
 
     state::Result<void> join(boost::asio::io_context &context, const Self &self);
     void viewChanged(const MembershipView &view);
-    void logBeliefs(const EndpointsView &endpoints);
-    void newsDatagram(std::string_view datagram);
-    void armFlush();
+    void logEndpointChanges(const EndpointsView &endpoints);
+    void handlePeerUpdates(std::string_view datagram);
+    void scheduleFlush();
     void flush();
     void logLostNews();
 
-    struct Belief
+    struct LoggedState
     {
         std::uint64_t incarnation = 0;
         coordination::endpoints::EndpointPhase phase{};
         bool drained = false;
 
-        bool operator==(const Belief &) const = default;
+        bool operator==(const LoggedState &) const = default;
     };
 
     const Settings &settings;
-    std::map<state::EndpointId, Belief> loggedBeliefs; // on membership's strand
+    std::map<state::EndpointId, LoggedState> loggedStates; // on membership's strand
     std::shared_ptr<EndpointRegistry> registry;
     Hooks hooks;
-    coordination::directory::Directory chooser;
+    coordination::directory::Directory entryDirectory;
     std::shared_ptr<MembershipService> membership; // null on a single node
     Strand strand;
     boost::asio::steady_timer flushTimer;
     std::shared_ptr<transport::GossipSocket> newsSocket;
-    std::vector<protocol::PeerNews> pendingNews; // on the strand
+    std::vector<protocol::PeerUpdate> pendingNews; // on the strand
     bool flushArmed = false;
-    std::uint64_t lostNewsLogged = 0; // the count in the last log line
+    std::uint64_t loggedLostUpdates = 0; // the count in the last log line
     state::Instant lostNewsLoggedAt{};
 };
 
--- a/src/program/CompletionRelay.cpp
+++ b/src/program/CompletionRelay.cpp
@@ -52,10 +52,10 @@
         while (placement) {
             const Placement current = placement.value();
             lastAttempt = current.attempt;
-            const AttemptEnd end = co_await this->attempt(current);
-            if (end == AttemptEnd::Ended)
+            const AttemptResult end = co_await this->attempt(current);
+            if (end == AttemptResult::Ended)
                 break;
-            if (end == AttemptEnd::SliceDone)
+            if (end == AttemptResult::SliceDone)
                 placement = co_await this->hooks.scheduler.sliceDone(this->request.id, current);
             else
                 placement = co_await this->hooks.scheduler.placeAgain(this->request.id, current,
@@ -68,7 +68,7 @@
     }
 
 private:
-    enum class AttemptEnd {
+    enum class AttemptResult {
         Ended, // the request has succeeded or failed for good
         SliceDone,
         Unreachable, // no connection to the engine
@@ -76,11 +76,11 @@
         Lost,
     };
 
-    static AttemptFailure failureOf(AttemptEnd end)
+    static AttemptFailure failureOf(AttemptResult end)
     {
-        if (end == AttemptEnd::Unreachable)
+        if (end == AttemptResult::Unreachable)
             return AttemptFailure::Unreachable;
-        return end == AttemptEnd::NotRun ? AttemptFailure::NotRun : AttemptFailure::Lost;
+        return end == AttemptResult::NotRun ? AttemptFailure::NotRun : AttemptFailure::Lost;
     }
 
     // Continues the stream that the caller's previous entry started. False if the engine no longer
@@ -99,8 +99,8 @@
         const auto opened = co_await engine.open();
         if (!opened)
             co_return false;
-        const AttemptEnd end = co_await this->relay(engine, placement, this->resume->stream);
-        co_return end == AttemptEnd::Ended;
+        const AttemptResult end = co_await this->relay(engine, placement, this->resume->stream);
+        co_return end == AttemptResult::Ended;
     }
 
     AttemptRequest attemptRequest(const Placement &placement)
@@ -120,7 +120,7 @@
         return attempt;
     }
 
-    asio::awaitable<AttemptEnd> attempt(const Placement &placement)
+    asio::awaitable<AttemptResult> attempt(const Placement &placement)
     {
         AttemptRequest attempt = this->attemptRequest(placement);
         const std::string stream = attempt.stream;
@@ -131,11 +131,11 @@
             this->recordFailure(opened.error());
             const bool deadlinePassed = co_await this->failIfDeadlinePassed();
             if (deadlinePassed)
-                co_return AttemptEnd::Ended;
+                co_return AttemptResult::Ended;
             if (opened.error().step == transport::connectStep)
-                co_return AttemptEnd::Unreachable;
-            co_return opened.error().code == state::ErrorCode::Overloaded ? AttemptEnd::NotRun
-                                                                          : AttemptEnd::Lost;
+                co_return AttemptResult::Unreachable;
+            co_return opened.error().code == state::ErrorCode::Overloaded ? AttemptResult::NotRun
+                                                                          : AttemptResult::Lost;
         }
         this->ran = Ran::Yes;
         co_return co_await this->relay(engine, placement, stream);
@@ -151,8 +151,8 @@
         this->lastError = error;
     }
 
-    asio::awaitable<AttemptEnd> relay(EngineAttempt &engine, const Placement &placement,
-                                      const std::string &stream)
+    asio::awaitable<AttemptResult> relay(EngineAttempt &engine, const Placement &placement,
+                                         const std::string &stream)
     {
         protocol::EventId position{this->request.account, placement.endpoint.id,
                                    placement.endpoint.address, stream, 0};
@@ -162,37 +162,37 @@
                 this->recordFailure(lines.error());
                 const bool deadlinePassed = co_await this->failIfDeadlinePassed();
                 engine.cancel();
-                co_return deadlinePassed ? AttemptEnd::Ended : AttemptEnd::Lost;
+                co_return deadlinePassed ? AttemptResult::Ended : AttemptResult::Lost;
             }
             for (const protocol::EngineLine &line : lines.value()) {
                 if (line.done && !placement.final) {
                     this->sliceEndpoint = placement.endpoint.id;
                     this->sliceStream = stream;
-                    co_return AttemptEnd::SliceDone;
+                    co_return AttemptResult::SliceDone;
                 }
                 position.offset = line.offset;
                 if (line.done && line.total == this->writer.nextOffset()) {
                     this->whole = co_await this->writer.finish(line.finishReason);
-                    co_return AttemptEnd::Ended;
+                    co_return AttemptResult::Ended;
                 }
-                if (line.done || this->takeToken(line, position) == AnswerWriter::Verdict::Gap) {
+                if (line.done || this->takeToken(line, position) == AnswerWriter::TakeResult::Gap) {
                     engine.cancel();
-                    co_return AttemptEnd::Lost;
+                    co_return AttemptResult::Lost;
                 }
             }
             const bool callerConnected = co_await this->writer.flush();
             if (!callerConnected)
-                co_return AttemptEnd::Ended;
+                co_return AttemptResult::Ended;
             this->hooks.scheduler.progressed(this->request.id, placement.attempt,
                                              this->writer.nextOffset());
         }
     }
 
-    AnswerWriter::Verdict takeToken(const protocol::EngineLine &line,
-                                    const protocol::EventId &position)
+    AnswerWriter::TakeResult takeToken(const protocol::EngineLine &line,
+                                       const protocol::EventId &position)
     {
-        const AnswerWriter::Verdict verdict = this->writer.take(line, position);
-        if (verdict == AnswerWriter::Verdict::Accepted && this->firstToken == state::Duration{})
+        const AnswerWriter::TakeResult verdict = this->writer.take(line, position);
+        if (verdict == AnswerWriter::TakeResult::Accepted && this->firstToken == state::Duration{})
             this->firstToken = monotonicNow() - this->request.arrival;
         return verdict;
     }
@@ -269,7 +269,7 @@
     const auto header = request.headers.find("Last-Event-ID");
     if (!header)
         return std::optional<protocol::EventId>();
-    BOOST_OUTCOME_TRY(const protocol::EventId id, protocol::openEventId(settings.keys, *header));
+    BOOST_OUTCOME_TRY(const protocol::EventId id, protocol::unsealEventId(settings.keys, *header));
     if (id.account != account)
         return state::makeError(state::ErrorCode::Unauthorized, "event-id.open",
                                 "the event id belongs to another account");
--- a/src/program/ControlClient.cpp
+++ b/src/program/ControlClient.cpp
@@ -80,7 +80,7 @@
 coordination::orders::FeedSettings feedSettings(const Settings &settings)
 {
     coordination::orders::FeedSettings feed;
-    feed.refreshEvery = feedInterval;
+    feed.refreshInterval = feedInterval;
     feed.admitWhenStale = settings.admitWhenStale;
     feed.inForceWithin = settings.changeInForce;
     feed.lease = std::min(feed.lease, feed.inForceWithin * 2 / 3);
@@ -171,8 +171,8 @@
 }
 
 asio::awaitable<state::Result<protocol::ControlReply>>
-ControlClient::askLeader(protocol::ControlCall request, Accepts accepts, const char *step,
-                         state::Instant deadline)
+ControlClient::callLeader(protocol::ControlCall request, ReplyPredicate accepts, const char *step,
+                          state::Instant deadline)
 {
     std::optional<state::Address> failed;
     while (remaining(deadline) > milliseconds(0)) {
@@ -195,12 +195,12 @@
 ControlClient::propose(control::Command command, state::Instant deadline)
 {
     protocol::ControlCall request = protocol::ProposeCall{protocol::encodeCommand(command)};
-    Accepts accepts = [](const protocol::ControlReply &reply) {
+    ReplyPredicate accepts = [](const protocol::ControlReply &reply) {
         const auto *proposed = std::get_if<protocol::ProposeReply>(&reply.body);
         return proposed != nullptr && proposed->committed;
     };
-    const auto reply = co_await this->askLeader(std::move(request), std::move(accepts),
-                                                "control.propose", deadline);
+    const auto reply = co_await this->callLeader(std::move(request), std::move(accepts),
+                                                 "control.propose", deadline);
     if (!reply)
         co_return reply.error();
     const auto &proposed = std::get<protocol::ProposeReply>(reply.value().body);
@@ -217,12 +217,12 @@
 ControlClient::enforcement(std::uint64_t version, state::Instant deadline)
 {
     protocol::ControlCall request = protocol::EnforcementCall{version};
-    Accepts accepts = [](const protocol::ControlReply &reply) {
+    ReplyPredicate accepts = [](const protocol::ControlReply &reply) {
         const auto *found = std::get_if<protocol::EnforcementReply>(&reply.body);
         return found != nullptr && found->confirmed;
     };
-    const auto reply = co_await this->askLeader(std::move(request), std::move(accepts),
-                                                "control.enforcement", deadline);
+    const auto reply = co_await this->callLeader(std::move(request), std::move(accepts),
+                                                 "control.enforcement", deadline);
     if (!reply)
         co_return reply.error();
     co_return std::get<protocol::EnforcementReply>(reply.value().body);
@@ -232,12 +232,12 @@
 ControlClient::configuration(state::Instant deadline)
 {
     protocol::ControlCall request = protocol::ConfigurationCall{};
-    Accepts accepts = [](const protocol::ControlReply &reply) {
+    ReplyPredicate accepts = [](const protocol::ControlReply &reply) {
         const auto *found = std::get_if<protocol::ConfigurationReply>(&reply.body);
         return found != nullptr && found->confirmed;
     };
-    const auto reply = co_await this->askLeader(std::move(request), std::move(accepts),
-                                                "control.configuration", deadline);
+    const auto reply = co_await this->callLeader(std::move(request), std::move(accepts),
+                                                 "control.configuration", deadline);
     if (!reply)
         co_return reply.error();
     co_return std::get<protocol::ConfigurationReply>(reply.value().body).document;
@@ -249,7 +249,7 @@
         bool viewChanged = false;
         if (const auto due = this->feed.poll(monotonicNow()))
             viewChanged = co_await this->pollFeed(*due);
-        this->afterAnswer(viewChanged);
+        this->publishView(viewChanged);
         const auto untilNext =
                 std::chrono::ceil<milliseconds>(this->feed.nextPoll() - monotonicNow());
         co_await transport::pause(std::clamp(untilNext, milliseconds(1), longestFeedPause));
@@ -260,23 +260,24 @@
 // the view has changed.
 asio::awaitable<bool> ControlClient::pollFeed(coordination::orders::FeedRequest due)
 {
-    const std::optional<ControlMemberAddress> member = this->nextMember(this->feedFailed);
+    const std::optional<ControlMemberAddress> member =
+            this->nextMember(this->unconfirmedFeedMember);
     if (!member) {
         this->feed.onRequestFailed(due.id);
         this->feed.retryAt(monotonicNow() + feedRetry);
         co_return false;
     }
-    const bool pages = std::exchange(this->behind, false);
+    const bool pages = std::exchange(this->awaitingPages, false);
     if (pages)
-        ++this->pagesRotation; // the current member lags
+        ++this->pageSourceRotation; // the current member lags
     const state::Instant askedAt = monotonicNow();
-    const auto reply = co_await this->askFeed(*member, pages);
+    const auto reply = co_await this->callFeed(*member, pages);
     const auto *feedReply = reply ? std::get_if<protocol::FeedReply>(&reply.value().body) : nullptr;
     const bool leaderKnown = reply && reply.value().leader.port != 0;
     this->leader.publish(leaderKnown ? std::optional(reply.value().leader) : std::nullopt);
     const bool confirmed = feedReply != nullptr && feedReply->confirmed;
-    this->noteFeed(member->entry, confirmed);
-    this->feedFailed = confirmed ? std::nullopt : std::optional(member->consensus);
+    this->logFeedTransition(member->entry, confirmed);
+    this->unconfirmedFeedMember = confirmed ? std::nullopt : std::optional(member->consensus);
     if (!confirmed)
         this->feed.retryAt(monotonicNow() + feedRetry);
     if (feedReply == nullptr) {
@@ -288,9 +289,9 @@
     const std::optional<state::Instant> behindSince = this->feed.behindSince();
     const bool changed = this->feed.onAnswer(answer, monotonicNow());
     if (changed)
-        this->noteChange(*member, *feedReply, askedAt, behindSince);
-    this->behind = confirmed && feedReply->version > this->feed.view().version;
-    if (this->behind)
+        this->logFetchedChange(*member, *feedReply, askedAt, behindSince);
+    this->awaitingPages = confirmed && feedReply->version > this->feed.view().version;
+    if (this->awaitingPages)
         this->feed.retryAt(monotonicNow() + pagesGrace);
     co_return changed;
 }
@@ -303,7 +304,7 @@
         const bool changed = co_await this->fetchPages();
         if (changed && !this->fresh)
             this->feed.retryAt(monotonicNow()); // only the leader's confirmation is missing
-        this->afterAnswer(changed);
+        this->publishView(changed);
         co_await transport::pause(changed ? milliseconds(1) : feedRetry);
     }
 }
@@ -311,21 +312,21 @@
 // Returns true if the view has changed.
 asio::awaitable<bool> ControlClient::fetchPages()
 {
-    const std::optional<ControlMemberAddress> member = this->pagesMember();
+    const std::optional<ControlMemberAddress> member = this->pageSource();
     if (!member)
         co_return false;
     const state::Instant askedAt = monotonicNow();
-    const auto reply = co_await this->askFeed(*member, true);
+    const auto reply = co_await this->callFeed(*member, true);
     const auto *feedReply = reply ? std::get_if<protocol::FeedReply>(&reply.value().body) : nullptr;
     if (feedReply == nullptr) {
-        ++this->pagesRotation; // pollFeed() logs the loss of the control members
+        ++this->pageSourceRotation; // pollFeed() logs the loss of the control members
         co_return false;
     }
     const std::optional<state::Instant> behindSince = this->feed.behindSince();
-    this->feed.heardOf(feedReply->version, monotonicNow());
+    this->feed.onVersionReported(feedReply->version, monotonicNow());
     const bool changed = this->feed.onPages(this->decodePages(*feedReply, *member));
     if (changed)
-        this->noteChange(*member, *feedReply, askedAt, behindSince);
+        this->logFetchedChange(*member, *feedReply, askedAt, behindSince);
     co_return changed;
 }
 
@@ -337,18 +338,19 @@
     const control::ConfigurationDocument &held = this->feed.view().configuration;
     auto pages = protocol::decodeFeedContent(reply.content, held);
     if (pages) {
-        this->wantsWholeConfiguration = false;
+        this->needsFullConfiguration = false;
         return std::move(pages.value());
     }
     if (pages.error().code != state::ErrorCode::Conflict) {
         logError("control.page-refused", pages.error().withPeer(member.entry.toString()));
-        this->wantsWholeConfiguration = true;
+        this->needsFullConfiguration = true;
     }
     return {};
 }
 
-void ControlClient::noteChange(const ControlMemberAddress &member, const protocol::FeedReply &reply,
-                               state::Instant askedAt, std::optional<state::Instant> behindSince)
+void ControlClient::logFetchedChange(const ControlMemberAddress &member,
+                                     const protocol::FeedReply &reply, state::Instant askedAt,
+                                     std::optional<state::Instant> behindSince)
 {
     const state::Instant now = monotonicNow();
     std::uint64_t bytes =
@@ -365,12 +367,12 @@
 }
 
 asio::awaitable<state::Result<protocol::ControlReply>>
-ControlClient::askFeed(ControlMemberAddress member, bool pages)
+ControlClient::callFeed(ControlMemberAddress member, bool pages)
 {
     protocol::FeedCall feedCall;
     feedCall.entry = this->settings.vm;
     feedCall.version = this->feed.view().version;
-    if (!this->wantsWholeConfiguration)
+    if (!this->needsFullConfiguration)
         feedCall.configuration = this->feed.view().configuration.version;
     feedCall.waitMs = static_cast<std::uint32_t>(feedWait.count());
     feedCall.pages = pages;
@@ -380,22 +382,22 @@
 
 // Returns the member in this process, or one chosen by a hash of the VM id, which spreads the
 // entries evenly over the members.
-std::optional<ControlMemberAddress> ControlClient::pagesMember() const
+std::optional<ControlMemberAddress> ControlClient::pageSource() const
 {
     const std::vector<ControlMemberAddress> members = this->hooks.members();
     if (members.empty())
         return std::nullopt;
     const auto own =
             std::ranges::find(members, this->hooks.ownAddress, &ControlMemberAddress::consensus);
-    if (this->hooks.ownMember && own != members.end() && this->pagesRotation % 2 == 0)
+    if (this->hooks.ownMember && own != members.end() && this->pageSourceRotation % 2 == 0)
         return *own;
     const std::string &vm = this->settings.vm.value();
     const std::size_t first = XXH3_64bits(vm.data(), vm.size());
-    return members[(first + this->pagesRotation) % members.size()];
+    return members[(first + this->pageSourceRotation) % members.size()];
 }
 
 // Logs once when contact with the control members is lost or regained, not once for each attempt.
-void ControlClient::noteFeed(const state::Address &member, bool confirmed)
+void ControlClient::logFeedTransition(const state::Address &member, bool confirmed)
 {
     if (confirmed == this->feedConfirmed)
         return;
@@ -405,7 +407,7 @@
              {{"peer", member.toString()}, {"version", this->feed.view().version}});
 }
 
-void ControlClient::afterAnswer(bool viewChanged)
+void ControlClient::publishView(bool viewChanged)
 {
     const bool now = this->feed.admits(monotonicNow());
     const bool before = this->fresh.exchange(now);
@@ -421,9 +423,9 @@
     }
 }
 
-coordination::orders::ViewStanding ControlClient::standing() const
+coordination::orders::ViewStatus ControlClient::standing() const
 {
-    return this->lease.read()->at(monotonicNow());
+    return this->lease.read()->statusAt(monotonicNow());
 }
 
 ClaimGate ControlClient::claimGate(std::uint64_t entryIncarnation)
--- a/src/program/ControlClient.h
+++ b/src/program/ControlClient.h
@@ -70,15 +70,15 @@
     configuration(state::Instant deadline);
 
     // False if the view is not confirmed fresh: no new request may be admitted under it.
-    bool admits() const { return this->fresh; }
+    bool mayAdmit() const { return this->fresh; }
     state::SnapshotView<state::control::ControlView> view() const { return this->published.read(); }
-    coordination::orders::ViewStanding standing() const;
+    coordination::orders::ViewStatus standing() const;
 
     // A gate whose claims are replicated to a quorum.
     ClaimGate claimGate(std::uint64_t entryIncarnation);
 
 private:
-    using Accepts = std::function<bool(const protocol::ControlReply &)>;
+    using ReplyPredicate = std::function<bool(const protocol::ControlReply &)>;
 
     ControlClient(const Settings &settings, boost::asio::io_context &context, Hooks hooks);
 
@@ -86,33 +86,33 @@
     boost::asio::awaitable<bool> pollFeed(coordination::orders::FeedRequest due);
     boost::asio::awaitable<void> pagesLoop();
     boost::asio::awaitable<bool> fetchPages();
-    std::optional<ControlMemberAddress> pagesMember() const;
+    std::optional<ControlMemberAddress> pageSource() const;
     boost::asio::awaitable<state::Result<protocol::ControlReply>>
-    askFeed(ControlMemberAddress member, bool pages);
+    callFeed(ControlMemberAddress member, bool pages);
     // Calls the leader, or members that may know it, until `accepts` is true. Error: Timeout.
     boost::asio::awaitable<state::Result<protocol::ControlReply>>
-    askLeader(protocol::ControlCall request, Accepts accepts, const char *step,
-              state::Instant deadline);
+    callLeader(protocol::ControlCall request, ReplyPredicate accepts, const char *step,
+               state::Instant deadline);
     boost::asio::awaitable<state::Result<protocol::ControlReply>>
     call(ControlMemberAddress member, protocol::ControlCall request);
     std::optional<ControlMemberAddress> nextMember(const std::optional<state::Address> &failed);
     std::vector<state::control::FeedPage> decodePages(const protocol::FeedReply &reply,
                                                       const ControlMemberAddress &member);
-    void noteFeed(const state::Address &member, bool confirmed);
-    void noteChange(const ControlMemberAddress &member, const protocol::FeedReply &reply,
-                    state::Instant askedAt, std::optional<state::Instant> behindSince);
-    void afterAnswer(bool viewChanged);
+    void logFeedTransition(const state::Address &member, bool confirmed);
+    void logFetchedChange(const ControlMemberAddress &member, const protocol::FeedReply &reply,
+                          state::Instant askedAt, std::optional<state::Instant> behindSince);
+    void publishView(bool viewChanged);
 
     const Settings &settings;
     boost::asio::strand<boost::asio::io_context::executor_type> strand;
     Hooks hooks;
     // Used on the strand only.
     coordination::orders::FeedReceiver feed;
-    std::optional<state::Address> feedFailed; // member whose last reply was unconfirmed
+    std::optional<state::Address> unconfirmedFeedMember; // member whose last reply was unconfirmed
     bool feedConfirmed = false;
-    bool behind = false; // the leader reported a version whose pages have not arrived yet
-    bool wantsWholeConfiguration = false; // the last patch could not be applied
-    std::size_t pagesRotation = 0;        // incremented if a member does not answer or lags
+    bool awaitingPages = false; // the leader reported a version whose pages have not arrived yet
+    bool needsFullConfiguration = false; // the last patch could not be applied
+    std::size_t pageSourceRotation = 0;  // incremented if a member does not answer or lags
     state::Snapshot<std::optional<state::Address>> leader; // consensus address; a hint
     std::atomic<std::size_t> rotation = 0;
     std::atomic<bool> fresh = false;
--- a/src/program/ControlMember.cpp
+++ b/src/program/ControlMember.cpp
@@ -21,7 +21,7 @@
 using coordination::consensus::Role;
 using coordination::consensus::RoleChange;
 using coordination::consensus::SnapshotPointer;
-using coordination::consensus::SnapshotWanted;
+using coordination::consensus::SnapshotRequest;
 using state::log::LogEntry;
 using state::log::LogEntryKind;
 
@@ -47,7 +47,7 @@
 
 state::Result<std::shared_ptr<ControlMember>>
 ControlMember::create(asio::io_context &io, const ControlMemberSettings &settings,
-                      const coordination::consensus::Stored &stored, ControlMemberHooks hooks)
+                      const coordination::consensus::StoredState &stored, ControlMemberHooks hooks)
 {
     BOOST_OUTCOME_TRY(Machine machine, Machine::create(settings.consensus, settings.id, stored,
                                                        settings.seed, monotonicNow()));
@@ -68,10 +68,10 @@
     asio::post(this->strand, [self = this->shared_from_this()] {
         if (self->stopped)
             return;
-        self->proposeGathered();
+        self->proposePending();
         self->stopped = true;
         self->timer.cancel();
-        self->orderUntil = 0;
+        self->ordersUntil = 0;
         for (const auto &[id, done] : std::exchange(self->proposals, {}))
             done(ProposalResult{.outcome = ProposalOutcome::LeadershipLost});
         for (const auto &[id, done] : std::exchange(self->reads, {}))
@@ -83,23 +83,23 @@
 {
     bool first = false;
     {
-        const std::lock_guard lock(this->gatheredMutex);
-        first = this->gathered.empty();
-        this->gathered.push_back({std::move(payload), std::move(done)});
+        const std::lock_guard lock(this->pendingProposalsMutex);
+        first = this->pendingProposals.empty();
+        this->pendingProposals.push_back({std::move(payload), std::move(done)});
     }
     if (first)
-        asio::post(this->strand, [self = this->shared_from_this()] { self->proposeGathered(); });
+        asio::post(this->strand, [self = this->shared_from_this()] { self->proposePending(); });
 }
 
-void ControlMember::proposeGathered()
+void ControlMember::proposePending()
 {
-    std::vector<WaitingProposal> batch;
+    std::vector<PendingProposal> batch;
     {
-        const std::lock_guard lock(this->gatheredMutex);
-        batch.swap(this->gathered);
+        const std::lock_guard lock(this->pendingProposalsMutex);
+        batch.swap(this->pendingProposals);
     }
     coordination::consensus::Propose propose;
-    for (WaitingProposal &waiting : batch) {
+    for (PendingProposal &waiting : batch) {
         if (this->stopped) {
             waiting.done(ProposalResult{.outcome = ProposalOutcome::NotLeader});
             continue;
@@ -151,9 +151,9 @@
     }
     asio::post(this->strand, [self = this->shared_from_this(), known = frame.value()] {
         const Message &message = known.message;
-        self->learned[message.from] = known.replyTo;
-        if (self->learned.size() > maximumLearnedAddresses)
-            self->learned.erase(self->learned.begin());
+        self->learnedAddresses[message.from] = known.replyTo;
+        if (self->learnedAddresses.size() > maximumLearnedAddresses)
+            self->learnedAddresses.erase(self->learnedAddresses.begin());
         self->step(coordination::consensus::Received{message});
     });
 }
@@ -173,10 +173,10 @@
     this->post(coordination::consensus::SnapshotTaken{snapshot});
 }
 
-bool ControlMember::mayOrder() const
+bool ControlMember::maySendOrders() const
 {
     const std::int64_t now = microsecondsOf(monotonicNow());
-    return now >= this->orderFrom && now < this->orderUntil;
+    return now >= this->ordersFrom && now < this->ordersUntil;
 }
 
 // Defers the event, so that a hook running on the strand may call this: the current step finishes
@@ -191,27 +191,27 @@
 {
     if (this->stopped)
         return;
-    this->perform(this->machine.step(event, monotonicNow()));
+    this->performActions(this->machine.step(event, monotonicNow()));
     this->publish();
     this->armTimer();
 }
 
-void ControlMember::perform(Actions actions)
+void ControlMember::performActions(Actions actions)
 {
     if (actions.persistSequence != 0)
         this->hooks.persist({actions.persistSequence, actions.hardState, actions.snapshot,
                              std::move(actions.entries)});
-    this->sendAll(actions.messages);
-    this->applyAll(actions);
+    this->sendMessages(actions.messages);
+    this->applyCommitted(actions);
     // Revokes the right to send orders before the callers of a deposed leader are answered.
     if (actions.roleChange)
         this->changeRole(*actions.roleChange);
-    this->answerAll(actions);
-    if (actions.snapshotWanted)
-        this->takeSnapshot(*actions.snapshotWanted);
+    this->answerCallers(actions);
+    if (actions.snapshotRequest)
+        this->takeSnapshot(*actions.snapshotRequest);
 }
 
-void ControlMember::sendAll(const std::vector<Message> &messages)
+void ControlMember::sendMessages(const std::vector<Message> &messages)
 {
     for (const Message &message : messages) {
         const std::optional<state::Address> to = this->addressOf(message.to);
@@ -226,13 +226,13 @@
     const Member *member = this->machine.members().find(id);
     if (member != nullptr)
         return member->address;
-    const auto found = this->learned.find(id);
-    if (found != this->learned.end())
+    const auto found = this->learnedAddresses.find(id);
+    if (found != this->learnedAddresses.end())
         return found->second;
     return std::nullopt;
 }
 
-void ControlMember::applyAll(const Actions &actions)
+void ControlMember::applyCommitted(const Actions &actions)
 {
     bool membersChanged = false;
     if (actions.restore) {
@@ -254,7 +254,7 @@
         this->hooks.membersChanged(this->machine.committedMembers());
 }
 
-void ControlMember::answerAll(const Actions &actions)
+void ControlMember::answerCallers(const Actions &actions)
 {
     for (const ProposalAnswer &answer : actions.answers) {
         auto waiting = this->proposals.extract(answer.id);
@@ -280,13 +280,13 @@
 void ControlMember::changeRole(const RoleChange &change)
 {
     if (change.role == Role::Leader)
-        this->orderFrom = microsecondsOf(change.ordersFrom);
+        this->ordersFrom = microsecondsOf(change.ordersFrom);
     else
-        this->orderUntil = 0;
+        this->ordersUntil = 0;
     this->hooks.roleChanged(change);
 }
 
-void ControlMember::takeSnapshot(const SnapshotWanted &wanted)
+void ControlMember::takeSnapshot(const SnapshotRequest &wanted)
 {
     this->hooks.captureState([weak = this->weak_from_this(), wanted](std::string bytes) {
         const auto self = weak.lock();
@@ -304,7 +304,7 @@
 void ControlMember::publish()
 {
     const std::optional<state::Instant> until = this->machine.leaseUntil();
-    this->orderUntil = until ? microsecondsOf(*until) : 0;
+    this->ordersUntil = until ? microsecondsOf(*until) : 0;
     ControlMemberStatus next;
     next.role = this->machine.currentRole();
     next.term = this->machine.currentTerm();
@@ -320,14 +320,14 @@
 void ControlMember::armTimer()
 {
     const state::Instant due = this->machine.nextTimer();
-    if (due == this->armedFor || due == state::Instant::max())
+    if (due == this->timerDeadline || due == state::Instant::max())
         return;
-    this->armedFor = due;
+    this->timerDeadline = due;
     this->timer.expires_at(std::chrono::steady_clock::time_point(due.time_since_epoch()));
     this->timer.async_wait([self = this->shared_from_this()](boost::system::error_code error) {
         if (error)
             return;
-        self->armedFor = {};
+        self->timerDeadline = {};
         self->step(coordination::consensus::Tick{});
     });
 }
--- a/src/program/ControlMember.h
+++ b/src/program/ControlMember.h
@@ -94,7 +94,7 @@
     // `stored` was read from the data folder; the caller has restored the state from its snapshot.
     static state::Result<std::shared_ptr<ControlMember>>
     create(boost::asio::io_context &io, const ControlMemberSettings &settings,
-           const coordination::consensus::Stored &stored, ControlMemberHooks hooks);
+           const coordination::consensus::StoredState &stored, ControlMemberHooks hooks);
 
     void start();
     // Answers waiting proposals with LeadershipLost and pending reads as unconfirmed. No hook is
@@ -114,12 +114,12 @@
 
     // True while this member may send orders to endpoints; must be checked before each order. May
     // be called from any thread.
-    bool mayOrder() const;
+    bool maySendOrders() const;
     state::SnapshotView<ControlMemberStatus> status() const { return this->published.read(); }
 
 private:
     using Machine = coordination::consensus::Consensus;
-    struct WaitingProposal
+    struct PendingProposal
     {
         std::string payload;
         ProposalDone done;
@@ -130,13 +130,13 @@
 
     void post(coordination::consensus::Event event);
     void step(const coordination::consensus::Event &event);
-    void proposeGathered();
-    void perform(coordination::consensus::Actions actions);
-    void sendAll(const std::vector<coordination::consensus::Message> &messages);
-    void applyAll(const coordination::consensus::Actions &actions);
-    void answerAll(const coordination::consensus::Actions &actions);
+    void proposePending();
+    void performActions(coordination::consensus::Actions actions);
+    void sendMessages(const std::vector<coordination::consensus::Message> &messages);
+    void applyCommitted(const coordination::consensus::Actions &actions);
+    void answerCallers(const coordination::consensus::Actions &actions);
     void changeRole(const coordination::consensus::RoleChange &change);
-    void takeSnapshot(const coordination::consensus::SnapshotWanted &wanted);
+    void takeSnapshot(const coordination::consensus::SnapshotRequest &wanted);
     void publish();
     void armTimer();
     std::optional<state::Address> addressOf(const state::VmId &id) const;
@@ -145,18 +145,19 @@
     ControlMemberSettings settings;
     ControlMemberHooks hooks;
 
-    std::mutex gatheredMutex;
-    std::vector<WaitingProposal> gathered; // proposed as one batch, with one write and one send
+    std::mutex pendingProposalsMutex;
+    std::vector<PendingProposal>
+            pendingProposals; // proposed as one batch, with one write and one send
 
     // Read by any thread.
     state::Snapshot<ControlMemberStatus> published;
-    std::atomic<std::int64_t> orderFrom = 0;  // microseconds of the monotonic clock
-    std::atomic<std::int64_t> orderUntil = 0; // end of the lease; 0 without a lease
+    std::atomic<std::int64_t> ordersFrom = 0;  // microseconds of the monotonic clock
+    std::atomic<std::int64_t> ordersUntil = 0; // end of the lease; 0 without a lease
 
     // The rest is used on the strand only.
     Machine machine;
     boost::asio::steady_timer timer;
-    state::Instant armedFor;
+    state::Instant timerDeadline;
     bool stopped = false;
     std::uint64_t nextId = 1;
     std::map<std::uint64_t, ProposalDone> proposals;
@@ -164,7 +165,7 @@
     // Answers to commands applied as leader and not yet returned to their callers, by log index.
     std::map<std::uint64_t, state::control::Answer> applied;
     // Addresses of senders, which may not be in the member set yet.
-    std::map<state::VmId, state::Address> learned;
+    std::map<state::VmId, state::Address> learnedAddresses;
 };
 
 } // namespace lavenderthread::program
--- a/src/program/ControlMemberHost.cpp
+++ b/src/program/ControlMemberHost.cpp
@@ -22,7 +22,7 @@
 
 constexpr std::uint64_t bootstrapTerm = 1;
 
-bool isNew(const coordination::consensus::Stored &stored)
+bool isNew(const coordination::consensus::StoredState &stored)
 {
     return stored.hardState.currentTerm == 0 && stored.entries.empty()
            && stored.snapshot.last.index == 0;
@@ -30,7 +30,7 @@
 
 // Writes the initial configuration entry. It is the same on every founder, so it needs no election.
 state::Result<void> bootstrapLog(DurableLog &log, const MemberSet &founders,
-                                 coordination::consensus::Stored &stored)
+                                 coordination::consensus::StoredState &stored)
 {
     const std::array<LogEntry, 1> first{
             LogEntry{{bootstrapTerm, 1}, LogEntryKind::Configuration, founders.encode()}};
@@ -56,7 +56,7 @@
     std::unique_ptr<ControlMemberHost> host(new ControlMemberHost(io, hooks));
     BOOST_OUTCOME_TRYV(host->openFolder(settings));
     BOOST_OUTCOME_TRYV(host->openLink(settings));
-    BOOST_OUTCOME_TRYV(host->build(settings));
+    BOOST_OUTCOME_TRYV(host->createMember(settings));
     return host;
 }
 
@@ -96,19 +96,19 @@
                       transport::PeerLink::listen(
                               this->io, linkSettings, settings.keys,
                               {[this](const std::string &bytes) { this->receive(bytes); },
-                               [this](const state::Error &error) { this->report(error); }}));
-    this->link = std::move(opened);
+                               [this](const state::Error &error) { this->reportProblem(error); }}));
+    this->peerLink = std::move(opened);
     return state::outcome::success();
 }
 
-state::Result<void> ControlMemberHost::build(const ControlMemberHostSettings &settings)
+state::Result<void> ControlMemberHost::createMember(const ControlMemberHostSettings &settings)
 {
-    const ControlMemberSettings memberSettings{this->identity, this->link->address(),
+    const ControlMemberSettings memberSettings{this->identity, this->peerLink->address(),
                                                settings.consensus, settings.seed};
     state::Result<std::shared_ptr<ControlMember>> built = ControlMember::create(
             this->io, memberSettings, std::exchange(this->stored, {}), this->memberHooks());
     if (built.has_error()) {
-        this->link->stop();
+        this->peerLink->stop();
         return built.error();
     }
     const std::shared_ptr<ControlMember> created = std::move(built).value();
@@ -137,26 +137,26 @@
     made.apply = [this](const LogEntry &entry) { return this->apply(entry); };
     made.restore = [this](const state::log::LogSnapshot &snapshot) { this->restore(snapshot); };
     made.captureState = [this](const std::function<void(std::string)> &done) {
-        this->capture(done);
+        this->captureState(done);
     };
     made.send = [this](const state::Address &peer, std::string bytes) {
-        this->link->send(peer, std::move(bytes));
+        this->peerLink->send(peer, std::move(bytes));
     };
     made.roleChanged = [this](const coordination::consensus::RoleChange &change) {
         if (change.error)
-            this->report(*change.error);
+            this->reportProblem(*change.error);
         if (this->hooks.roleChanged)
             this->hooks.roleChanged(change);
     };
     made.membersChanged = [](const MemberSet &) {};
-    made.badMessage = [this](const state::Error &error) { this->report(error); };
+    made.badMessage = [this](const state::Error &error) { this->reportProblem(error); };
     return made;
 }
 
 void ControlMemberHost::stop()
 {
     this->controlMember->stop();
-    this->link->stop();
+    this->peerLink->stop();
 }
 
 // Every member refuses a committed command that cannot be decoded: all members run the same version
@@ -165,7 +165,7 @@
 {
     const state::Result<state::control::Command> command = protocol::decodeCommand(entry.payload);
     if (command.has_error()) {
-        this->report(command.error());
+        this->reportProblem(command.error());
         return state::control::Refused{command.error(), std::nullopt, false};
     }
     state::control::Answer answer = this->controlState.apply(entry.position, command.value());
@@ -189,7 +189,7 @@
 
 // Takes the image now and encodes it off the strand: encoding takes longer and must not delay
 // heartbeats.
-void ControlMemberHost::capture(const std::function<void(std::string bytes)> &done)
+void ControlMemberHost::captureState(const std::function<void(std::string bytes)> &done)
 {
     auto image = std::make_shared<state::control::ControlImage>(this->controlState.image());
     boost::asio::post(this->io,
@@ -207,7 +207,7 @@
         to->receive(bytes);
 }
 
-void ControlMemberHost::report(const state::Error &error) const
+void ControlMemberHost::reportProblem(const state::Error &error) const
 {
     if (this->hooks.problem)
         this->hooks.problem(error);
--- a/src/program/ControlMemberHost.h
+++ b/src/program/ControlMemberHost.h
@@ -65,7 +65,7 @@
 
     ControlMember &member() { return *this->controlMember; }
     const state::VmId &id() const { return this->identity; }
-    state::Address address() const { return this->link->address(); }
+    state::Address address() const { return this->peerLink->address(); }
     // Use on the member's strand only: in its hooks and in the callbacks of propose() and read().
     const state::control::ControlState &state() const { return this->controlState; }
 
@@ -74,23 +74,23 @@
 
     state::Result<void> openFolder(const ControlMemberHostSettings &settings);
     state::Result<void> openLink(const ControlMemberHostSettings &settings);
-    state::Result<void> build(const ControlMemberHostSettings &settings);
+    state::Result<void> createMember(const ControlMemberHostSettings &settings);
     ControlMemberHooks memberHooks();
     state::control::Answer apply(const state::log::LogEntry &entry);
     void restore(const state::log::LogSnapshot &snapshot);
-    void capture(const std::function<void(std::string bytes)> &done);
+    void captureState(const std::function<void(std::string bytes)> &done);
     void receive(const std::string &bytes);
-    void report(const state::Error &error) const;
+    void reportProblem(const state::Error &error) const;
 
     boost::asio::io_context &io;
     ControlMemberHostHooks hooks;
     state::VmId identity;
     // As read from the folder; empty once the member is created.
-    coordination::consensus::Stored stored;
+    coordination::consensus::StoredState stored;
     state::control::ControlState controlState;
     std::mutex memberMutex; // guards controlMember while the link runs before the member exists
     std::shared_ptr<ControlMember> controlMember;
-    std::shared_ptr<transport::PeerLink> link;
+    std::shared_ptr<transport::PeerLink> peerLink;
     std::unique_ptr<transport::storage::DurableLog> log; // null once the writer owns it
     // Declared last so that it is destroyed first: its threads call the member.
     std::unique_ptr<transport::storage::LogWriter> writer;
--- a/src/program/ControlService.cpp
+++ b/src/program/ControlService.cpp
@@ -121,8 +121,8 @@
     hostSettings.listen = *this->settings.controlListen;
     hostSettings.keys = this->settings.keys;
     hostSettings.consensus.electionTimeout = electionTimeout;
-    hostSettings.consensus.compactionLeastBytes = leastLogBytesInMemory;
-    hostSettings.consensus.compactionBytes = logBytesInMemory;
+    hostSettings.consensus.minimumCompactionBytes = leastLogBytesInMemory;
+    hostSettings.consensus.maximumCompactionBytes = logBytesInMemory;
     hostSettings.segmentBytes = logSegmentBytes;
     hostSettings.consensus.compactionEntries = logEntriesInMemory;
     hostSettings.consensus.trailingEntries = entriesKeptBehindSnapshot;
@@ -131,11 +131,11 @@
             ^ static_cast<std::uint64_t>(wallNow().time_since_epoch().count());
     ControlMemberHostHooks memberHooks;
     memberHooks.roleChanged = [this](const consensus::RoleChange &change) {
-        this->roleChanged(change);
+        this->onRoleChanged(change);
     };
     memberHooks.applied = [this](const auto & /*position*/, const auto & /*command*/,
-                                 const auto & /*answer*/) { this->stateChanged(); };
-    memberHooks.restored = [this] { this->stateChanged(); };
+                                 const auto & /*answer*/) { this->onStateChanged(); };
+    memberHooks.restored = [this] { this->onStateChanged(); };
     memberHooks.problem = [](const state::Error &error) {
         logEvent(LogLevel::Debug, "control.problem",
                  {{"step", error.step}, {"peer", error.peer}, {"cause", error.cause}});
@@ -173,14 +173,14 @@
         member->stop();
 }
 
-void ControlService::roleChanged(const consensus::RoleChange &change)
+void ControlService::onRoleChanged(const consensus::RoleChange &change)
 {
-    this->leads = change.role == consensus::Role::Leader;
-    if (this->leads)
+    this->isLeader = change.role == consensus::Role::Leader;
+    if (this->isLeader)
         this->tracker.leaderStarted({}, monotonicNow());
     logEvent(LogLevel::Info, "control.role",
              {{"identity", this->id.value()},
-              {"role", this->leads ? "leader" : "not-leader"},
+              {"role", this->isLeader ? "leader" : "not-leader"},
               {"term", change.fencing.term}});
     if (change.role != consensus::Role::Stopped)
         return;
@@ -209,11 +209,11 @@
     const state::Instant now = monotonicNow();
     const HostPointer member = this->host();
     const bool hadLeader =
-            std::exchange(this->knewLeader, member && this->leaderAddress(member).port != 0);
-    this->wakeFeeds(this->knewLeader && !hadLeader ? std::nullopt : std::optional(now));
+            std::exchange(this->leaderWasKnown, member && this->leaderAddress(member).port != 0);
+    this->wakeFeeds(this->leaderWasKnown && !hadLeader ? std::nullopt : std::optional(now));
     if (member) {
         this->advanceTime(member, now);
-        this->repairMembers(member, now);
+        this->reconcileMembers(member, now);
     } else if (now >= this->reopenAt) {
         this->reopenAt = now + reopenPause;
         const state::Result<void> opened = this->open();
@@ -235,10 +235,10 @@
 {
     if (this->lastAdvance != state::Instant{} && now - this->lastAdvance < advanceInterval)
         return;
-    if (this->leads && this->hasClaims && this->lastAdvance != state::Instant{}) {
+    if (this->isLeader && this->hasClaims && this->lastAdvance != state::Instant{}) {
         const state::control::AdvanceTime step{now - this->lastAdvance};
         member->member().propose(protocol::encodeCommand(step), [](const ProposalResult &) {});
-        this->settleLostClaims(member);
+        this->settleClaimsOfEndedEntries(member);
     }
     this->lastAdvance = now;
 }
@@ -248,7 +248,7 @@
 // a call that was never dispatched is never made. Settling makes an undispatched claim available
 // again and gives a dispatched one an unknown outcome. If the entry is in fact alive, its
 // DispatchClaim is refused, so that nothing runs twice.
-void ControlService::settleLostClaims(const HostPointer &member)
+void ControlService::settleClaimsOfEndedEntries(const HostPointer &member)
 {
     if (!this->hooks.hasEnded)
         return;
@@ -268,9 +268,9 @@
 }
 
 // Proposes one member change at a time; the next tick uses the resulting member set.
-void ControlService::repairMembers(const HostPointer &member, state::Instant now)
+void ControlService::reconcileMembers(const HostPointer &member, state::Instant now)
 {
-    if (!this->leads || this->changingMembers || !this->hooks.candidates)
+    if (!this->isLeader || this->memberChangePending || !this->hooks.candidates)
         return;
     const auto status = member->member().status();
     const consensus::MemberSet target =
@@ -285,26 +285,26 @@
               {"member", change->member.id.value()},
               {"members", std::uint64_t(status->members.all().size())},
               {"term", status->term}});
-    this->changingMembers = true;
+    this->memberChangePending = true;
     member->member().proposeChange(*change, [self = this->shared_from_this()](const auto &) {
-        asio::post(self->timer.get_executor(), [self] { self->changingMembers = false; });
+        asio::post(self->timer.get_executor(), [self] { self->memberChangePending = false; });
     });
 }
 
 // Most commands are claims and do not change the view; waking every held feed for each of them
 // would make every entry poll again without need.
-void ControlService::stateChanged()
+void ControlService::onStateChanged()
 {
     const HostPointer member = this->host();
     if (!member)
         return; // still opening: no feed call waits yet
     const std::uint64_t version = member->state().view().version;
-    if (this->announcedView == version)
+    if (this->announcedVersion == version)
         return;
-    this->feedEncoder.note(member->state().view());
+    this->feedEncoder.recordView(member->state().view());
     {
         const std::lock_guard lock(this->feedMutex);
-        this->announcedView = version;
+        this->announcedVersion = version;
     }
     this->wakeFeeds(std::nullopt);
 }
@@ -370,7 +370,7 @@
 asio::awaitable<protocol::FeedReply> ControlService::feed(HostPointer member,
                                                           protocol::FeedCall call)
 {
-    const std::uint64_t seen = this->announcedView;
+    const std::uint64_t seen = this->announcedVersion;
     protocol::FeedReply reply = co_await this->readFeed(member, call);
     if (!reply.content.pages.empty() || call.waitMs == 0)
         co_return reply;
@@ -387,7 +387,7 @@
 {
     std::function<void(FeedWaiter)> start = [this, seen, time](FeedWaiter wake) {
         std::unique_lock lock(this->feedMutex);
-        if (this->announcedView == seen) {
+        if (this->announcedVersion == seen) {
             this->waitingFeeds.push_back({monotonicNow() + time, std::move(wake)});
             return;
         }
@@ -449,7 +449,7 @@
 {
     using Done = std::function<void(protocol::ConfigurationReply)>;
     std::function<void(Done)> start = [member](const Done &done) {
-        member->member().read(consensus::ReadKind::Round, [member, done](const auto &read) {
+        member->member().read(consensus::ReadKind::QuorumRound, [member, done](const auto &read) {
             protocol::ConfigurationReply reply;
             reply.confirmed = read.confirmed;
             if (read.confirmed)
--- a/src/program/ControlService.h
+++ b/src/program/ControlService.h
@@ -29,7 +29,7 @@
     {
         // Returns the live processes with a data folder according to membership. If the hook is
         // empty, the member set is not changed.
-        std::function<std::vector<coordination::consensus::Candidate>()> candidates;
+        std::function<std::vector<coordination::consensus::MemberCandidate>()> candidates;
         // Returns whether that process is known to have ended. Empty hook: none is.
         std::function<bool(const state::VmId &entry, std::uint64_t incarnation)> hasEnded;
     };
@@ -52,13 +52,13 @@
 
     state::Result<void> open();
     HostPointer host() const;
-    void roleChanged(const coordination::consensus::RoleChange &change);
+    void onRoleChanged(const coordination::consensus::RoleChange &change);
     void reopen();
     void tick();
     void advanceTime(const HostPointer &member, state::Instant now);
-    void settleLostClaims(const HostPointer &member);
-    void repairMembers(const HostPointer &member, state::Instant now);
-    void stateChanged();
+    void settleClaimsOfEndedEntries(const HostPointer &member);
+    void reconcileMembers(const HostPointer &member, state::Instant now);
+    void onStateChanged();
     void wakeFeeds(std::optional<state::Instant> dueBefore);
     state::Address leaderAddress(const HostPointer &member) const;
 
@@ -86,20 +86,20 @@
         FeedWaiter wake;
     };
     std::mutex feedMutex;
-    std::vector<WaitingFeed> waitingFeeds;        // answered on a view change or at `until`
-    std::atomic<std::uint64_t> announcedView = 0; // version; written under feedMutex
+    std::vector<WaitingFeed> waitingFeeds;           // answered on a view change or at `until`
+    std::atomic<std::uint64_t> announcedVersion = 0; // version; written under feedMutex
 
     // Used on the member's strand only, except the atomics.
     coordination::orders::EnforcementTracker tracker;
     protocol::FeedEncoder feedEncoder;
-    std::atomic<bool> leads = false;
+    std::atomic<bool> isLeader = false;
     std::atomic<bool> stopped = false;
     std::atomic<bool> hasClaims = false; // control time advances only if true
     // Used on the timer's strand only.
     coordination::consensus::MemberPlan plan;
     state::Instant lastAdvance{};
-    bool changingMembers = false;
-    bool knewLeader = false;
+    bool memberChangePending = false;
+    bool leaderWasKnown = false;
 };
 
 } // namespace lavenderthread::program
--- a/src/program/DispatcherScheduler.cpp
+++ b/src/program/DispatcherScheduler.cpp
@@ -24,7 +24,7 @@
 
 namespace asio = boost::asio;
 namespace admission = coordination::admission;
-using coordination::routing::AttemptHealth;
+using coordination::routing::AttemptOutcome;
 using coordination::routing::EndpointHealth;
 using protocol::Problem;
 using protocol::Ran;
@@ -51,13 +51,14 @@
     using Answer = std::function<void(PlacementResult)>;
 
     // A request between place() and finished().
-    struct Pending
+    struct PendingRequest
     {
-        Answer waiter;                        // the relay's callback while it waits
-        std::optional<PlacementResult> ready; // arrived while the relay was not waiting
-        std::optional<Placement> last;        // the last placement that the relay was given
-        std::function<void()> interrupt;      // the relay's; see ScheduledRequest
-        std::function<void(bool)> move;       // the relay's callback while it waits in mayAbandon()
+        Answer waiter;                          // the relay's callback while it waits
+        std::optional<PlacementResult> ready;   // arrived while the relay was not waiting
+        std::optional<Placement> lastPlacement; // the last placement that the relay was given
+        std::function<void()> interrupt;        // the relay's; see ScheduledRequest
+        std::function<void(bool)>
+                abandonWaiter; // the relay's callback while it waits in mayAbandon()
     };
 
     State(asio::io_context &context, const Settings &settings,
@@ -82,7 +83,7 @@
     {
         const auto actions = this->dispatcher.handle(event, monotonicNow());
         for (const admission::Action &action : actions)
-            std::visit([this](const auto &each) { this->carryOut(each); }, action);
+            std::visit([this](const auto &each) { this->execute(each); }, action);
         this->armTimer();
     }
 
@@ -103,24 +104,24 @@
         const auto found = this->pending.find(id);
         if (found == this->pending.end())
             return;
-        Pending &request = found->second;
+        PendingRequest &request = found->second;
         if (result)
-            request.last = result.value();
+            request.lastPlacement = result.value();
         if (!request.waiter) {
             request.ready = std::move(result);
             return;
         }
         const Answer waiter = std::exchange(request.waiter, {});
-        const bool over = !result && !request.last;
+        const bool over = !result && !request.lastPlacement;
         if (over) // refused before any placement: the relay does not call finished()
             this->pending.erase(found);
         waiter(std::move(result));
     }
 
     // Calls `waiter` with the result that is ready, or keeps it until there is one.
-    void await(const state::RequestId &id, Answer waiter)
+    void setWaiter(const state::RequestId &id, Answer waiter)
     {
-        Pending &request = this->pending[id];
+        PendingRequest &request = this->pending[id];
         if (request.ready) {
             const PlacementResult result = *std::exchange(request.ready, std::nullopt);
             waiter(result);
@@ -129,7 +130,7 @@
         request.waiter = std::move(waiter);
     }
 
-    void carryOut(const admission::Dispatch &action)
+    void execute(const admission::Dispatch &action)
     {
         const auto table = this->registry->table();
         const auto known = table->endpoints.find(action.engine);
@@ -147,7 +148,7 @@
         placement.from = action.from;
         placement.to = action.to;
         placement.final = action.final;
-        placement.predictedFirst = action.predictedFirst;
+        placement.predictedFirstEvent = action.predictedFirstEvent;
         for (std::size_t index = 0; index < action.helpers.size(); ++index) {
             const auto helping = table->endpoints.find(action.helpers[index]);
             const std::string lease =
@@ -159,53 +160,54 @@
         this->answer(action.id, placement);
     }
 
-    void carryOut(const admission::Refuse &action)
+    void execute(const admission::Refuse &action)
     {
         const Problem problem = problemOf(action);
         logRefusal(action, problem);
         this->answer(action.id, problem);
     }
 
-    void carryOut(const admission::Expire &action)
+    void execute(const admission::Expire &action)
     {
         const Ran ran = action.ran == admission::Ran::No ? Ran::No : Ran::Unknown;
         this->answer(action.id,
                      Problem{504, "deadline", "the deadline has passed", ran, std::nullopt});
     }
 
-    void carryOut(const admission::CancelOnEngine &action)
+    void execute(const admission::CancelOnEngine &action)
     {
         const auto found = this->pending.find(action.id);
         if (found == this->pending.end())
             return;
         if (found->second.interrupt)
             found->second.interrupt();
-        else if (found->second.last)
+        else if (found->second.lastPlacement)
             this->callEngine("DELETE",
-                             "/engine/streams/" + streamIdOf(action.id, *found->second.last),
-                             found->second.last->endpoint.address, {});
+                             "/engine/streams/"
+                                     + streamIdOf(action.id, *found->second.lastPlacement),
+                             found->second.lastPlacement->endpoint.address, {});
     }
 
-    void carryOut(const admission::MoveAnswered &action)
+    void execute(const admission::MoveAnswered &action)
     {
         const auto found = this->pending.find(action.id);
-        if (found != this->pending.end() && found->second.move)
-            std::exchange(found->second.move, {})(action.allowed);
+        if (found != this->pending.end() && found->second.abandonWaiter)
+            std::exchange(found->second.abandonWaiter, {})(action.allowed);
     }
 
-    void askToMove(const state::RequestId &id, std::uint32_t attempt,
-                   std::function<void(bool)> answer)
+    void askToAbandon(const state::RequestId &id, std::uint32_t attempt,
+                      std::function<void(bool)> answer)
     {
         const auto found = this->pending.find(id);
         if (found == this->pending.end()) {
             answer(false); // the request has ended in the meantime
             return;
         }
-        found->second.move = std::move(answer);
-        this->handle(admission::MoveAsked{id, attempt});
+        found->second.abandonWaiter = std::move(answer);
+        this->handle(admission::MoveRequested{id, attempt});
     }
 
-    void carryOut(const admission::Reserve &action)
+    void execute(const admission::Reserve &action)
     {
         const auto table = this->registry->table();
         const auto known = table->endpoints.find(action.engine);
@@ -236,7 +238,7 @@
                          answered);
     }
 
-    void carryOut(const admission::Release &action)
+    void execute(const admission::Release &action)
     {
         const auto table = this->registry->table();
         const auto known = table->endpoints.find(action.engine);
@@ -251,13 +253,13 @@
                              known->second.description.address, {});
     }
 
-    void carryOut(const admission::ShareWork &action)
+    void execute(const admission::ShareWork &action)
     {
         if (this->hooks.shareWork)
             this->hooks.shareWork(action.note);
     }
 
-    void carryOut(const admission::ShareBacklog &action)
+    void execute(const admission::ShareBacklog &action)
     {
         if (this->hooks.shareBacklog)
             this->hooks.shareBacklog(action.note);
@@ -314,26 +316,26 @@
     // engine stays in the table until its renewals are missed. Without the suspicion, every request
     // placed there meanwhile would find its port closed, and some would run out of attempts. The
     // engine is used again after a while, or at once when it announces a new incarnation.
-    void noteHealth(const state::EndpointDescription &endpoint, AttemptHealth outcome)
+    void noteHealth(const state::EndpointDescription &endpoint, AttemptOutcome outcome)
     {
-        const bool suspect =
-                this->health.note(endpoint.id, endpoint.incarnation, outcome, monotonicNow());
+        const bool suspect = this->health.recordAttempt(endpoint.id, endpoint.incarnation, outcome,
+                                                        monotonicNow());
         if (!suspect)
             return;
         logEvent(LogLevel::Warning, "engine.suspected",
                  {{"endpoint", endpoint.id.value()},
                   {"address", endpoint.address.toString()},
                   {"incarnation", endpoint.incarnation},
-                  {"cause", outcome == AttemptHealth::Unreachable ? "unreachable" : "failures"}});
+                  {"cause", outcome == AttemptOutcome::Unreachable ? "unreachable" : "failures"}});
         this->refreshEndpoints();
     }
 
-    void blame(const state::Address &address)
+    void handlePeerFailure(const state::Address &address)
     {
         for (const auto &[id, endpoint] : this->announced) {
             if (endpoint.description.address == address) {
                 this->noteHealth(state::EndpointDescription(endpoint.description),
-                                 AttemptHealth::Unreachable);
+                                 AttemptOutcome::Unreachable);
                 return;
             }
         }
@@ -365,8 +367,8 @@
     // Fills in the capacity and speeds, which such an engine does not announce, from its service's
     // profile, if there is one.
     static state::EndpointDescription
-    described(state::EndpointDescription endpoint,
-              const std::optional<state::routes::EngineProfile> &profile)
+    withProfile(state::EndpointDescription endpoint,
+                const std::optional<state::routes::EngineProfile> &profile)
     {
         constexpr double msPerSecond = 1'000;
         if (!profile)
@@ -384,8 +386,8 @@
         this->profiles = next;
         for (const auto &[id, endpoint] : this->announced) {
             const auto profile = this->profileOf(endpoint.description);
-            this->handle(
-                    admission::EngineAnnounced{described(endpoint.description, profile), profile});
+            this->handle(admission::EngineAnnounced{withProfile(endpoint.description, profile),
+                                                    profile});
         }
     }
 
@@ -418,7 +420,7 @@
                 continue;
             const bool drainChanged = endpoint.draining != (same && known->second.draining);
             if (!same || known->second.description != endpoint.description)
-                this->handle(admission::EngineAnnounced{described(endpoint.description, profile),
+                this->handle(admission::EngineAnnounced{withProfile(endpoint.description, profile),
                                                         profile});
             if (drainChanged)
                 this->handle(admission::EngineDraining{id, endpoint.draining});
@@ -440,7 +442,7 @@
     std::shared_ptr<EndpointRegistry> registry;
     Hooks hooks;
     admission::Dispatcher dispatcher;
-    std::unordered_map<state::RequestId, Pending> pending;
+    std::unordered_map<state::RequestId, PendingRequest> pending;
     EndpointHealth health; // a crashed engine stays announced until its renewals are missed
     std::map<state::EndpointId, RegisteredEndpoint> announced; // as the dispatcher was told
     std::map<state::ServiceName, state::routes::EngineProfile> profiles;
@@ -491,7 +493,7 @@
         return transport::awaitCallback<PlacementResult>(
                 [self, id, begin = std::move(begin)](State::Answer waiter) {
                     asio::post(self->state->strand, [self, id, begin, waiter] {
-                        self->state->await(id, waiter);
+                        self->state->setWaiter(id, waiter);
                         begin(*self->state);
                     });
                 });
@@ -510,17 +512,17 @@
         return waitFor(id, [id, failed, failure](State &state) {
             if (failure != AttemptFailure::PeerLost)
                 state.noteHealth(failed.endpoint, failure == AttemptFailure::Unreachable
-                                                          ? AttemptHealth::Unreachable
-                                                          : AttemptHealth::Failed);
+                                                          ? AttemptOutcome::Unreachable
+                                                          : AttemptOutcome::Failed);
             state.handle(
                     admission::AttemptFailed{id, failed.attempt, failure != AttemptFailure::Lost});
         });
     };
-    scheduler.mayMove = [self](state::RequestId id, std::uint32_t attempt) {
+    scheduler.mayAbandon = [self](state::RequestId id, std::uint32_t attempt) {
         return transport::awaitCallback<bool>(
                 [self, id, attempt](std::function<void(bool)> answer) {
                     asio::post(self->state->strand, [self, id, attempt, answer] {
-                        self->state->askToMove(id, attempt, answer);
+                        self->state->askToAbandon(id, attempt, answer);
                     });
                 });
     };
@@ -546,12 +548,13 @@
         asio::post(self->state->strand, [self, id] { self->state->cancel(id); });
     };
     scheduler.noteHealth = [self](const state::EndpointDescription &endpoint,
-                                  AttemptHealth outcome) {
+                                  AttemptOutcome outcome) {
         asio::post(self->state->strand,
                    [self, endpoint, outcome] { self->state->noteHealth(endpoint, outcome); });
     };
-    scheduler.blame = [self](const state::Address &address) {
-        asio::post(self->state->strand, [self, address] { self->state->blame(address); });
+    scheduler.reportPeerFailure = [self](const state::Address &address) {
+        asio::post(self->state->strand,
+                   [self, address] { self->state->handlePeerFailure(address); });
     };
     scheduler.isAlive =
             [registry = this->state->registry](const state::EndpointDescription &endpoint) {
--- a/src/program/EndpointRegistry.cpp
+++ b/src/program/EndpointRegistry.cpp
@@ -20,19 +20,19 @@
 state::Result<void> EndpointRegistry::announce(const state::EndpointDescription &endpoint,
                                                state::Instant now)
 {
-    const std::lock_guard lock(this->writers);
+    const std::lock_guard lock(this->writeMutex);
     const auto known = this->current.endpoints.find(endpoint.id);
     if (known != this->current.endpoints.end()) {
         if (known->second.description.incarnation > endpoint.incarnation)
             return state::makeError(state::ErrorCode::Conflict, "endpoint.announce",
                                     "a newer incarnation is known", endpoint.id.value());
-        this->lastHeard[endpoint.id] = now;
+        this->lastRenewal[endpoint.id] = now;
         if (known->second.description == endpoint)
             return state::outcome::success();
         // A restart does not end the drain of the previous incarnation; only an operator does.
         known->second.description = endpoint;
     } else {
-        this->lastHeard[endpoint.id] = now;
+        this->lastRenewal[endpoint.id] = now;
         this->current.endpoints[endpoint.id] = RegisteredEndpoint{endpoint, false};
     }
     this->publish();
@@ -41,18 +41,18 @@
 
 bool EndpointRegistry::leave(const state::EndpointId &id, std::uint64_t incarnation)
 {
-    const std::lock_guard lock(this->writers);
+    const std::lock_guard lock(this->writeMutex);
     if (this->current.find(id, incarnation) == nullptr)
         return false;
     this->current.endpoints.erase(id);
-    this->lastHeard.erase(id);
+    this->lastRenewal.erase(id);
     this->publish();
     return true;
 }
 
 bool EndpointRegistry::setDraining(const state::EndpointId &id, bool draining)
 {
-    const std::lock_guard lock(this->writers);
+    const std::lock_guard lock(this->writeMutex);
     const auto known = this->current.endpoints.find(id);
     if (known == this->current.endpoints.end())
         return false;
@@ -65,7 +65,7 @@
 
 bool EndpointRegistry::assign(EndpointTable table)
 {
-    const std::lock_guard lock(this->writers);
+    const std::lock_guard lock(this->writeMutex);
     if (this->current == table)
         return false;
     this->current = std::move(table);
@@ -75,15 +75,15 @@
 
 std::vector<state::EndpointId> EndpointRegistry::expire(state::Instant now)
 {
-    const std::lock_guard lock(this->writers);
+    const std::lock_guard lock(this->writeMutex);
     std::vector<state::EndpointId> dropped;
-    for (const auto &[id, renewedAt] : this->lastHeard) {
+    for (const auto &[id, renewedAt] : this->lastRenewal) {
         if (now - renewedAt > this->expiry)
             dropped.push_back(id);
     }
     for (const state::EndpointId &id : dropped) {
         this->current.endpoints.erase(id);
-        this->lastHeard.erase(id);
+        this->lastRenewal.erase(id);
     }
     if (!dropped.empty())
         this->publish();
--- a/src/program/EndpointRegistry.h
+++ b/src/program/EndpointRegistry.h
@@ -55,10 +55,10 @@
     void publish(); // the caller must hold the mutex
 
     state::Duration expiry;
-    std::mutex writers; // never held during I/O; readers don't take it
+    std::mutex writeMutex; // never held during I/O; readers don't take it
     EndpointTable current;
     // On a single node, the same keys as `current`.
-    std::map<state::EndpointId, state::Instant> lastHeard;
+    std::map<state::EndpointId, state::Instant> lastRenewal;
     state::Snapshot<EndpointTable> published;
 };
 
--- a/src/program/EngineAttempt.cpp
+++ b/src/program/EngineAttempt.cpp
@@ -85,7 +85,7 @@
     const milliseconds left = remaining(this->request.deadline);
     transport::HttpCallLimits limits;
     limits.connectTimeout = std::min(this->settings.connectTimeout, left);
-    limits.timeout = std::min(this->settings.silence, left);
+    limits.timeout = std::min(this->settings.silenceTimeout, left);
     return transport::openHttpStream(this->executor, this->request.endpoint.address,
                                      std::move(call), limits);
 }
@@ -153,7 +153,8 @@
         const milliseconds left = remaining(this->request.deadline);
         if (left == milliseconds(0))
             co_return state::makeError(state::ErrorCode::Timeout, "engine.read", "deadline", peer);
-        const milliseconds wait = this->sawToken ? std::min(this->settings.silence, left) : left;
+        const milliseconds wait =
+                this->sawToken ? std::min(this->settings.silenceTimeout, left) : left;
         auto piece = co_await this->watch->stream.read(wait);
         if (!piece)
             co_return piece.error();
--- a/src/program/Entry.cpp
+++ b/src/program/Entry.cpp
@@ -36,8 +36,8 @@
 transport::HttpLimits limitsOf(const EntrySettings &entry)
 {
     transport::HttpLimits limits;
-    limits.headerBytes = entry.headerBytes;
-    limits.bodyBytes = entry.bodyBytes;
+    limits.headerBytes = entry.headerLimitBytes;
+    limits.bodyBytes = entry.bodyLimitBytes;
     limits.connections = entry.connections;
     limits.requestTimeout = entry.requestTimeout;
     limits.idleTimeout = entry.idleTimeout;
@@ -165,7 +165,7 @@
     }
     // Nothing new is admitted under a table that may be outdated: an entry without contact to the
     // control members would continue to grant what the operators have revoked.
-    if (this->hooks.admits && !this->hooks.admits()) {
+    if (this->hooks.isAdmissionAllowed && !this->hooks.isAdmissionAllowed()) {
         Problem problem{503, "table-not-fresh", "this entry has no confirmed table; use another",
                         Ran::No, retryStaleAfter};
         co_await exchange.respond(toResponse(problem));
@@ -202,8 +202,9 @@
     else if (slash == std::string_view::npos)
         answer = simpleProblem(404, "not-found", "no such path");
     else
-        answer = this->endpointNews(request, state::EndpointId(std::string(path.substr(0, slash))),
-                                    path.substr(slash + 1));
+        answer = this->handleEndpointUpdate(request,
+                                            state::EndpointId(std::string(path.substr(0, slash))),
+                                            path.substr(slash + 1));
     co_await exchange.respond(std::move(answer));
 }
 
@@ -223,8 +224,9 @@
                                  {"owner", answer.owner.toString()}});
 }
 
-protocol::HttpResponse Entry::endpointNews(const protocol::HttpRequest &request,
-                                           const state::EndpointId &id, std::string_view call)
+protocol::HttpResponse Entry::handleEndpointUpdate(const protocol::HttpRequest &request,
+                                                   const state::EndpointId &id,
+                                                   std::string_view call)
 {
     protocol::HttpResponse noContent{204, {}, {}};
     const auto unknown = [] {
--- a/src/program/Entry.h
+++ b/src/program/Entry.h
@@ -60,7 +60,7 @@
         // accounts.
         std::function<std::optional<AccountSetting>(std::string_view key)> accountOfKey;
         // False while the view of the table is not confirmed to be up to date.
-        std::function<bool()> admits;
+        std::function<bool()> isAdmissionAllowed;
         // Handles further routes, such as the operators'; false if the request matches none of
         // them.
         std::function<boost::asio::awaitable<bool>(transport::HttpExchange &,
@@ -92,8 +92,8 @@
     boost::asio::awaitable<void> handleEndpointCall(transport::HttpExchange &exchange,
                                                     std::string_view path);
     boost::asio::awaitable<protocol::HttpResponse> announce(const protocol::HttpRequest &request);
-    protocol::HttpResponse endpointNews(const protocol::HttpRequest &request,
-                                        const state::EndpointId &id, std::string_view call);
+    protocol::HttpResponse handleEndpointUpdate(const protocol::HttpRequest &request,
+                                                const state::EndpointId &id, std::string_view call);
     protocol::HttpResponse directoryAnswer(const protocol::HttpRequest &request) const;
     protocol::HttpResponse statusAnswer() const;
     protocol::HttpResponse refuseElsewhere(const state::ClientAccountId &account) const;
--- a/src/program/SilenceWatch.h
+++ b/src/program/InactivityTimeout.h
@@ -15,36 +15,36 @@
 
 // The inactivity timeout of one attempt. All calls and hooks must run on the executor passed to
 // start(), which is a strand.
-class SilenceWatch : public std::enable_shared_from_this<SilenceWatch>
+class InactivityTimeout : public std::enable_shared_from_this<InactivityTimeout>
 {
 public:
     struct Hooks
     {
         // Whether the request may be retried elsewhere; called each time the timeout expires.
-        std::function<boost::asio::awaitable<bool>()> mayMove;
-        std::function<void()> giveUp; // called at most once; the timeout has then ended
+        std::function<boost::asio::awaitable<bool>()> mayRetryElsewhere;
+        std::function<void()> onTimeout; // called at most once; the timeout has then ended
     };
 
-    static std::shared_ptr<SilenceWatch> start(const boost::asio::any_io_executor &executor,
-                                               state::Duration initialTimeout, Hooks hooks);
+    static std::shared_ptr<InactivityTimeout> start(const boost::asio::any_io_executor &executor,
+                                                    state::Duration initialTimeout, Hooks hooks);
 
     // Data has arrived. Restarts the timeout with the duration `next`.
-    void heard(state::Duration next);
+    void restart(state::Duration next);
     void stop(); // the attempt has ended; no hook is called after this
-    bool hasGivenUp() const { return this->gaveUp; }
+    bool hasTimedOut() const { return this->timedOut; }
 
 private:
-    SilenceWatch(const boost::asio::any_io_executor &executor, state::Duration first,
-                 Hooks watchHooks);
+    InactivityTimeout(const boost::asio::any_io_executor &executor, state::Duration first,
+                      Hooks watchHooks);
 
     boost::asio::awaitable<void> run();
 
     boost::asio::steady_timer timer;
     Hooks hooks;
-    state::Duration patience;
-    state::Instant lastHeard;
+    state::Duration timeout;
+    state::Instant lastActivity;
     bool ended = false;
-    bool gaveUp = false;
+    bool timedOut = false;
 };
 
 } // namespace lavenderthread::program
--- a/src/program/LogSink.cpp
+++ b/src/program/LogSink.cpp
@@ -19,7 +19,7 @@
 {
     while (!this->buffer.empty()) {
         const std::size_t before = this->buffer.size();
-        this->writeSome(exitWriteTimeoutMs);
+        this->writeAvailable(exitWriteTimeoutMs);
         if (this->buffer.size() == before)
             return; // the reader is gone or stalled
     }
@@ -36,27 +36,27 @@
     spdlog::memory_buf_t line;
     this->formatter_->format(message, line);
     const bool fits = this->buffer.size() + line.size() <= this->settings.bufferBytes;
-    if (!fits || !this->admits(message.level)) {
+    if (!fits || !this->allowsLine(message.level)) {
         ++this->dropped;
         return;
     }
     this->buffer.append(line.data(), line.size());
     if (this->buffer.size() >= flushBytes)
-        this->writeSome(0);
+        this->writeAvailable(0);
 }
 
 void LogSink::flush_() // NOLINT
 {
-    this->writeSome(0);
+    this->writeAvailable(0);
 }
 
-bool LogSink::admits(spdlog::level::level_enum level)
+bool LogSink::allowsLine(spdlog::level::level_enum level)
 {
     if (level >= spdlog::level::err)
         return true;
     const auto now = std::chrono::steady_clock::now();
-    const double elapsed = std::chrono::duration<double>(now - this->filledAt).count();
-    this->filledAt = now;
+    const double elapsed = std::chrono::duration<double>(now - this->refilledAt).count();
+    this->refilledAt = now;
     this->tokens = std::min(this->settings.burstLines,
                             this->tokens + elapsed * this->settings.linesPerSecond);
     if (this->tokens < 1)
@@ -67,7 +67,7 @@
 
 // Polls before each write of at most PIPE_BUF bytes: a pipe that is ready takes that many without
 // blocking, so a stalled reader never blocks the process.
-void LogSink::writeSome(int waitMs)
+void LogSink::writeAvailable(int waitMs)
 {
     while (!this->buffer.empty()) {
         pollfd ready{this->settings.descriptor, POLLOUT, 0};
--- a/src/program/LogSink.h
+++ b/src/program/LogSink.h
@@ -39,13 +39,13 @@
     void flush_() override;                                          // NOLINT
 
 private:
-    bool admits(spdlog::level::level_enum level);
-    void writeSome(int waitMs);
+    bool allowsLine(spdlog::level::level_enum level);
+    void writeAvailable(int waitMs);
 
     LogSinkSettings settings;
     std::string buffer; // whole lines, except that a part of the first may already be written
     double tokens;
-    std::chrono::steady_clock::time_point filledAt{};
+    std::chrono::steady_clock::time_point refilledAt{};
     std::uint64_t dropped = 0;
 };
 
--- a/src/program/MembershipService.cpp
+++ b/src/program/MembershipService.cpp
@@ -11,9 +11,9 @@
 namespace lavenderthread::program {
 
 namespace asio = boost::asio;
-using coordination::endpoints::EndpointLife;
+using coordination::endpoints::EndpointContext;
+using coordination::endpoints::EndpointLifecycle;
 using coordination::endpoints::EndpointRecord;
-using coordination::endpoints::EndpointWorld;
 using coordination::membership::GossipActions;
 using coordination::membership::Membership;
 using coordination::membership::MemberTable;
@@ -41,14 +41,14 @@
                               strand, settings.listen,
                               [target](std::string_view datagram, const state::Address &from) {
                                   if (const auto service = target->lock())
-                                      service->received(datagram, from);
+                                      service->handleDatagram(datagram, from);
                               }));
     if (settings.gossip.description.gossip.port == 0)
         settings.gossip.description.gossip.port = socket->address().port;
     const state::Instant now = monotonicNow();
     BOOST_OUTCOME_TRY(auto membership, Membership::create(settings.gossip, now));
-    BOOST_OUTCOME_TRY(auto initialLifecycle,
-                      EndpointLife::create(settings.endpointLife, settings.gossip.self, now));
+    BOOST_OUTCOME_TRY(auto initialLifecycle, EndpointLifecycle::create(settings.endpointLifecycle,
+                                                                       settings.gossip.self, now));
     std::shared_ptr<MembershipService> created(
             new MembershipService(std::move(settings), strand, std::move(hooks),
                                   std::move(membership), std::move(initialLifecycle)));
@@ -60,12 +60,12 @@
 
 MembershipService::MembershipService(MembershipServiceSettings chosen, Strand onStrand,
                                      Hooks chosenHooks, Membership initialMembership,
-                                     EndpointLife initialLifecycle)
+                                     EndpointLifecycle initialLifecycle)
     : settings(std::move(chosen))
     , strand(std::move(onStrand))
     , hooks(std::move(chosenHooks))
     , membership(std::move(initialMembership))
-    , endpointLife(std::move(initialLifecycle))
+    , endpointLifecycle(std::move(initialLifecycle))
     , timer(this->strand)
 {}
 
@@ -91,7 +91,7 @@
 {
     asio::post(this->strand, [self = this->shared_from_this(), next] {
         const state::Instant now = monotonicNow();
-        self->noteTableVersion(next.tableVersion, now);
+        self->recordTableVersion(next.tableVersion, now);
         self->perform(self->membership.setSelf(next, now));
         self->publishView(now);
     });
@@ -101,7 +101,7 @@
 {
     asio::post(this->strand, [self = this->shared_from_this(), endpoint, done = std::move(done)] {
         const state::Instant now = monotonicNow();
-        auto record = self->endpointLife.announce(endpoint, self->world(), now);
+        auto record = self->endpointLifecycle.announce(endpoint, self->endpointContext(), now);
         if (record && record.value()) {
             self->publishRecord(*record.value(), now);
             self->publishView(now);
@@ -122,7 +122,7 @@
                [self = this->shared_from_this(), endpoint, incarnation, done = std::move(done)] {
                    const state::Instant now = monotonicNow();
                    const state::Result<void> left = self->leaveNow(endpoint, incarnation, now);
-                   self->acknowledge(endpoint, left, done, now);
+                   self->acknowledgeLeave(endpoint, left, done, now);
                });
 }
 
@@ -132,40 +132,41 @@
         const state::Instant now = monotonicNow();
         // Announced first, so that the others learn that this incarnation leaves, and not an
         // earlier one. If it has already left, the announcement changes nothing.
-        const auto record = self->endpointLife.announce(endpoint, self->world(), now);
+        const auto record =
+                self->endpointLifecycle.announce(endpoint, self->endpointContext(), now);
         if (record && record.value())
             self->publishRecord(*record.value(), now);
         const state::Result<void> left = self->leaveNow(endpoint.id, endpoint.incarnation, now);
-        self->acknowledge(endpoint.id, left, done, now);
+        self->acknowledgeLeave(endpoint.id, left, done, now);
     });
 }
 
 // Answers at once if no confirmation is outstanding. Otherwise answers when all live members have
 // confirmed, or after a timeout: by then all reachable members know of it, and the endpoint has not
 // yet tried another member.
-void MembershipService::acknowledge(const state::EndpointId &endpoint,
-                                    const state::Result<void> &left, const LeaveHandler &done,
-                                    state::Instant now)
+void MembershipService::acknowledgeLeave(const state::EndpointId &endpoint,
+                                         const state::Result<void> &left, const LeaveHandler &done,
+                                         state::Instant now)
 {
     if (!done)
         return;
     if (!left || this->membership.isDeregisteredEverywhere(endpoint))
         done(left);
     else
-        this->waitingLeaves.push_back({endpoint, now, done});
+        this->pendingLeaves.push_back({endpoint, now, done});
 }
 
-void MembershipService::answerWaitingLeaves(state::Instant now)
+void MembershipService::completePendingLeaves(state::Instant now)
 {
-    const auto waits = [&](const WaitingLeave &each) {
+    const auto waits = [&](const PendingLeave &each) {
         return now - each.since < acknowledgementTimeout
                && !this->membership.isDeregisteredEverywhere(each.endpoint);
     };
     const auto answered =
-            std::stable_partition(this->waitingLeaves.begin(), this->waitingLeaves.end(), waits);
-    const std::vector<WaitingLeave> due(answered, this->waitingLeaves.end());
-    this->waitingLeaves.erase(answered, this->waitingLeaves.end());
-    for (const WaitingLeave &each : due) {
+            std::stable_partition(this->pendingLeaves.begin(), this->pendingLeaves.end(), waits);
+    const std::vector<PendingLeave> due(answered, this->pendingLeaves.end());
+    this->pendingLeaves.erase(answered, this->pendingLeaves.end());
+    for (const PendingLeave &each : due) {
         if (this->hooks.leaveAcknowledged)
             this->hooks.leaveAcknowledged(
                     {each.endpoint, now - each.since,
@@ -181,14 +182,15 @@
     const auto *known = this->membership.endpointTable().find(endpoint);
     if (!incarnation && known != nullptr)
         incarnation = known->record.incarnation;
-    const auto record = this->endpointLife.leave(endpoint, incarnation.value_or(0), this->world());
+    const auto record = this->endpointLifecycle.leave(endpoint, incarnation.value_or(0),
+                                                      this->endpointContext());
     if (!record)
         return record.error();
     if (record.value()) {
         this->publishRecord(*record.value(), now);
         this->publishView(now);
     } else {
-        this->membership.deregisteredAgain(endpoint, now);
+        this->membership.handleRepeatedDeregistration(endpoint, now);
     }
     return state::outcome::success();
 }
@@ -196,8 +198,8 @@
 void MembershipService::reportLoad(const state::LoadReport &report)
 {
     asio::post(this->strand, [self = this->shared_from_this(), report] {
-        if (self->endpointLife.isAnnouncedHere(report.endpoint, report.incarnation))
-            self->ownLoads[report.endpoint] = report;
+        if (self->endpointLifecycle.isAnnouncedHere(report.endpoint, report.incarnation))
+            self->pendingLoadReports[report.endpoint] = report;
     });
 }
 
@@ -213,7 +215,7 @@
     });
 }
 
-void MembershipService::received(std::string_view datagram, const state::Address &from)
+void MembershipService::handleDatagram(std::string_view datagram, const state::Address &from)
 {
     const auto message = protocol::unsealGossip(this->settings.keys, datagram);
     if (!message) {
@@ -224,10 +226,10 @@
     const state::Instant now = monotonicNow();
     const GossipActions actions = this->membership.receive(message.value(), from, now);
     this->perform(actions);
-    this->answerWaitingLeaves(now);
-    if (this->hooks.endHeard) {
-        for (const coordination::membership::HeardEnd &end : actions.ends)
-            this->hooks.endHeard(end);
+    this->completePendingLeaves(now);
+    if (this->hooks.endOfWorkReported) {
+        for (const coordination::membership::EndOfWorkReport &end : actions.endOfWorkReports)
+            this->hooks.endOfWorkReported(end);
     }
     if (this->hooks.loadArrived) {
         for (const state::LoadReport &load : actions.loads)
@@ -249,19 +251,19 @@
     constexpr state::Duration second = std::chrono::seconds(1);
     const state::Instant now = monotonicNow();
     this->perform(this->membership.tick(now));
-    this->answerWaitingLeaves(now);
-    if (now >= this->nextSecond) {
-        this->nextSecond = now + second;
+    this->completePendingLeaves(now);
+    if (now >= this->nextEndpointTick) {
+        this->nextEndpointTick = now + second;
         this->tickEndpoints(now);
         this->membersDirty = true; // statuses also change without gossip updates
     }
-    if (now >= this->nextLoads) {
-        this->nextLoads = now + this->settings.loadInterval;
+    if (now >= this->nextLoadReports) {
+        this->nextLoadReports = now + this->settings.loadInterval;
         this->sendLoads(now);
     }
     this->publishView(now);
-    if (this->membership.isSuperseded() && !this->toldSuperseded) {
-        this->toldSuperseded = true;
+    if (this->membership.isSuperseded() && !this->supersededReported) {
+        this->supersededReported = true;
         if (this->hooks.superseded)
             this->hooks.superseded();
     }
@@ -270,16 +272,16 @@
 
 void MembershipService::tickEndpoints(state::Instant now)
 {
-    for (const EndpointRecord &record : this->endpointLife.tick(this->world(), now))
+    for (const EndpointRecord &record : this->endpointLifecycle.tick(this->endpointContext(), now))
         this->publishRecord(record, now);
 }
 
 void MembershipService::sendLoads(state::Instant now)
 {
     std::vector<state::LoadReport> loads;
-    for (const auto &[id, report] : this->ownLoads)
+    for (const auto &[id, report] : this->pendingLoadReports)
         loads.push_back(report);
-    this->ownLoads.clear();
+    this->pendingLoadReports.clear();
     const std::size_t replicas = this->endpointsView->endpoints.size();
     this->perform(this->membership.sendLoads(
             loads, this->ring->watchersOf(this->membership.self(), replicas), now));
@@ -309,7 +311,7 @@
         return;
     MembershipView next;
     if (this->membersDirty || !this->ring) {
-        const OwnerRing current = OwnerRing::of(this->membership.members());
+        const OwnerRing current = OwnerRing::fromMembers(this->membership.members());
         if (!this->ring || !(current == *this->ring)) {
             this->ring = std::make_shared<const OwnerRing>(current);
             this->endpointsDirty = true; // owners may have changed
@@ -317,7 +319,7 @@
     }
     if (this->endpointsDirty)
         this->endpointsView = std::make_shared<const EndpointsView>(
-                EndpointsView::of(this->membership.endpointTable(), *this->ring));
+                EndpointsView::fromTable(this->membership.endpointTable(), *this->ring));
     next.members = std::make_shared<const MemberTable>(this->membership.members());
     next.ring = this->ring;
     next.endpoints = this->endpointsView;
@@ -337,7 +339,7 @@
         this->hooks.changed(next);
 }
 
-void MembershipService::noteTableVersion(std::uint64_t version, state::Instant now)
+void MembershipService::recordTableVersion(std::uint64_t version, state::Instant now)
 {
     if (this->tableVersions.empty() || version > this->tableVersions.back().version)
         this->tableVersions.push_back({version, now});
@@ -345,15 +347,16 @@
 
 AnnounceAnswer MembershipService::answerFor(const state::EndpointDescription &endpoint) const
 {
-    AnnounceAnswer answer{
-            this->settings.endpointLife.renewAfter, this->settings.endpointLife.expiresAfter, {}};
+    AnnounceAnswer answer{this->settings.endpointLifecycle.renewAfter,
+                          this->settings.endpointLifecycle.expiresAfter,
+                          {}};
     const state::VmId owner = this->ring->endpointOwner(endpoint.id, endpoint.failureDomain);
     if (const auto *entry = this->membership.members().find(owner))
         answer.owner = entry->record.description->caller;
     return answer;
 }
 
-EndpointWorld MembershipService::world() const
+EndpointContext MembershipService::endpointContext() const
 {
     return {this->membership.endpointTable(), this->membership.members(), *this->ring};
 }
--- a/src/program/MembershipService.h
+++ b/src/program/MembershipService.h
@@ -2,7 +2,7 @@
 // the request path.
 #pragma once
 
-#include "coordination/endpoints/EndpointLife.h"
+#include "coordination/endpoints/EndpointLifecycle.h"
 #include "coordination/membership/Membership.h"
 #include "program/MembershipView.h"
 #include "protocol/Seal.h"
@@ -26,7 +26,7 @@
     protocol::SealKeys keys;
     // If the port of the gossip address in the description is 0, the bound port is announced.
     state::Address listen;
-    coordination::endpoints::EndpointLifeSettings endpointLife;
+    coordination::endpoints::EndpointLifecycleSettings endpointLifecycle;
     state::Duration loadInterval = std::chrono::seconds(3);
     // The longest time until every member has confirmed a table and its status has arrived.
     state::Duration tableSpreadTime = std::chrono::seconds(30);
@@ -59,7 +59,7 @@
         std::function<void(const MembershipView &)> changed; // after a view was published
         std::function<void(const state::LoadReport &)>
                 loadArrived; // of endpoints announced elsewhere
-        std::function<void(const coordination::membership::HeardEnd &)> endHeard;
+        std::function<void(const coordination::membership::EndOfWorkReport &)> endOfWorkReported;
         std::function<void(const LeaveOutcome &)> leaveAcknowledged;
         std::function<void()> superseded; // the process must stop; called once
         // A datagram was refused; `peer` is its sender.
@@ -75,11 +75,11 @@
     void start();
     void stop(); // closes the socket; only hooks that are already queued are still called
     void setSelf(const coordination::membership::SelfState &self);
-    // `done` is called on the strand. Errors as EndpointLife::announce.
+    // `done` is called on the strand. Errors as EndpointLifecycle::announce.
     void announce(const state::EndpointDescription &endpoint, AnnounceHandler done = {});
     using LeaveHandler = std::function<void(state::Result<void>)>;
     // Without an incarnation, the known one leaves. `done` is called on the strand when all live
-    // members have confirmed it, or after a time limit. Errors as EndpointLife::leave.
+    // members have confirmed it, or after a time limit. Errors as EndpointLifecycle::leave.
     void leave(const state::EndpointId &endpoint, std::optional<std::uint64_t> incarnation,
                LeaveHandler done = {});
     // Takes a leave notice of an endpoint, also of one that is not known here yet.
@@ -98,14 +98,14 @@
 
     MembershipService(MembershipServiceSettings chosen, Strand onStrand, Hooks chosenHooks,
                       coordination::membership::Membership initialMembership,
-                      coordination::endpoints::EndpointLife initialLifecycle);
+                      coordination::endpoints::EndpointLifecycle initialLifecycle);
 
-    void received(std::string_view datagram, const state::Address &from);
+    void handleDatagram(std::string_view datagram, const state::Address &from);
     void scheduleTick();
     void tick();
-    void acknowledge(const state::EndpointId &endpoint, const state::Result<void> &left,
-                     const LeaveHandler &done, state::Instant now);
-    void answerWaitingLeaves(state::Instant now);
+    void acknowledgeLeave(const state::EndpointId &endpoint, const state::Result<void> &left,
+                          const LeaveHandler &done, state::Instant now);
+    void completePendingLeaves(state::Instant now);
     state::Result<void> leaveNow(const state::EndpointId &endpoint,
                                  std::optional<std::uint64_t> incarnation, state::Instant now);
     void tickEndpoints(state::Instant now);
@@ -113,35 +113,35 @@
     void perform(const coordination::membership::GossipActions &actions);
     void publishRecord(const coordination::endpoints::EndpointRecord &record, state::Instant now);
     void publishView(state::Instant now);
-    void noteTableVersion(std::uint64_t version, state::Instant now);
+    void recordTableVersion(std::uint64_t version, state::Instant now);
     AnnounceAnswer answerFor(const state::EndpointDescription &endpoint) const;
-    coordination::endpoints::EndpointWorld world() const;
+    coordination::endpoints::EndpointContext endpointContext() const;
 
     // Accessed on the strand only, except `published` and the address of `socket`.
     MembershipServiceSettings settings;
     Strand strand;
     Hooks hooks;
     coordination::membership::Membership membership;
-    coordination::endpoints::EndpointLife endpointLife;
+    coordination::endpoints::EndpointLifecycle endpointLifecycle;
     std::shared_ptr<transport::GossipSocket> socket;
     boost::asio::steady_timer timer;
-    state::Instant nextSecond;
-    state::Instant nextLoads;
+    state::Instant nextEndpointTick;
+    state::Instant nextLoadReports;
     // The newest per endpoint, not yet sent.
-    std::map<state::EndpointId, state::LoadReport> ownLoads;
+    std::map<state::EndpointId, state::LoadReport> pendingLoadReports;
     struct TableVersionAt
     {
         std::uint64_t version = 0;
         state::Instant since;
     };
-    struct WaitingLeave
+    struct PendingLeave
     {
         state::EndpointId endpoint;
         state::Instant since;
         LeaveHandler done;
     };
     // Answered when all live members have confirmed, or after a time limit.
-    std::vector<WaitingLeave> waitingLeaves;
+    std::vector<PendingLeave> pendingLeaves;
     // Ascending; the first may be old enough to be required.
     std::deque<TableVersionAt> tableVersions;
     bool membersDirty = true;
@@ -149,7 +149,7 @@
     bool wasSynced = false;
     bool wasIsolated = false;
     bool running = false;
-    bool toldSuperseded = false;
+    bool supersededReported = false;
     std::shared_ptr<const coordination::ownership::OwnerRing> ring;
     std::shared_ptr<const EndpointsView> endpointsView;
     state::Snapshot<MembershipView> published;
--- a/src/program/MembershipView.cpp
+++ b/src/program/MembershipView.cpp
@@ -7,8 +7,8 @@
 
 using coordination::endpoints::EndpointRecord;
 
-EndpointsView EndpointsView::of(const coordination::endpoints::EndpointTable &table,
-                                const coordination::ownership::OwnerRing &ring)
+EndpointsView EndpointsView::fromTable(const coordination::endpoints::EndpointTable &table,
+                                       const coordination::ownership::OwnerRing &ring)
 {
     EndpointsView view;
     view.endpoints.reserve(table.entries().size());
--- a/src/program/MembershipView.h
+++ b/src/program/MembershipView.h
@@ -28,8 +28,8 @@
     std::map<state::ModelName, std::vector<std::size_t>> enginesOfModel;
     std::map<state::ServiceName, std::vector<std::size_t>> replicasOfService;
 
-    static EndpointsView of(const coordination::endpoints::EndpointTable &table,
-                            const coordination::ownership::OwnerRing &ring);
+    static EndpointsView fromTable(const coordination::endpoints::EndpointTable &table,
+                                   const coordination::ownership::OwnerRing &ring);
     const EndpointState *find(const state::EndpointId &id) const;
 };
 
--- a/src/program/Metrics.cpp
+++ b/src/program/Metrics.cpp
@@ -34,9 +34,9 @@
 } // namespace
 
 template <typename Series>
-std::string Metrics::bounded(const Series &series, const std::string &name)
+std::string Metrics::limitedName(const Series &series, const std::string &name)
 {
-    if (series.size() < mostSeries || series.contains(name))
+    if (series.size() < seriesLimit || series.contains(name))
         return name;
     return name.substr(0, name.find('{')) + "{series=\"other\"}";
 }
@@ -44,16 +44,16 @@
 void Metrics::count(const std::string &name, std::uint64_t by)
 {
     const std::lock_guard lock(this->mutex);
-    this->counters[bounded(this->counters, name)] += by;
+    this->counters[limitedName(this->counters, name)] += by;
 }
 
 void Metrics::observe(const std::string &name, double seconds)
 {
     const std::lock_guard lock(this->mutex);
-    Histogram &histogram = this->histograms[bounded(this->histograms, name)];
+    Histogram &histogram = this->histograms[limitedName(this->histograms, name)];
     const auto bucket = std::ranges::lower_bound(bounds, seconds) - bounds.begin();
     ++histogram.buckets.at(std::size_t(bucket));
-    histogram.all(seconds);
+    histogram.summary(seconds);
 }
 
 void Metrics::gauge(const std::string &name, std::function<double()> value)
@@ -71,11 +71,11 @@
         appendLine(text, withLabel(name, "_bucket", "le=\"" + numberText(bounds[index]) + "\""),
                    std::to_string(cumulative));
     }
-    const std::size_t count = accumulators::count(histogram.all);
+    const std::size_t count = accumulators::count(histogram.summary);
     appendLine(text, withLabel(name, "_bucket", "le=\"+Inf\""), std::to_string(count));
     appendLine(text, withLabel(name, "_count", ""), std::to_string(count));
-    appendLine(text, withLabel(name, "_sum", ""), numberText(accumulators::sum(histogram.all)));
-    appendLine(text, withLabel(name, "_max", ""), numberText(accumulators::max(histogram.all)));
+    appendLine(text, withLabel(name, "_sum", ""), numberText(accumulators::sum(histogram.summary)));
+    appendLine(text, withLabel(name, "_max", ""), numberText(accumulators::max(histogram.summary)));
 }
 
 std::string Metrics::text() const
--- a/src/program/Metrics.h
+++ b/src/program/Metrics.h
@@ -35,7 +35,7 @@
     static constexpr std::array<double, 15> bounds{
             0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.6, 1.0, 2.0, 4.0, 8.0, 16.0};
     // Labels come from configurations and callers; series beyond this number share one series.
-    static constexpr std::size_t mostSeries = 500;
+    static constexpr std::size_t seriesLimit = 500;
 
     struct Histogram
     {
@@ -44,11 +44,11 @@
                 double, boost::accumulators::stats<boost::accumulators::tag::count,
                                                    boost::accumulators::tag::sum,
                                                    boost::accumulators::tag::max>>
-                all;
+                summary;
     };
 
     template <typename Series>
-    static std::string bounded(const Series &series, const std::string &name);
+    static std::string limitedName(const Series &series, const std::string &name);
     static void append(std::string &text, const std::string &name, const Histogram &histogram);
 
     mutable std::mutex mutex;
--- a/src/program/Node.cpp
+++ b/src/program/Node.cpp
@@ -1,7 +1,7 @@
 // Startup, operation and graceful shutdown of one process.
 #include "program/Node.h"
 
-#include "coordination/directory/LeavingPlan.h"
+#include "coordination/directory/ShutdownSchedule.h"
 #include "program/Clock.h"
 #include "program/Cluster.h"
 #include "program/ControlClient.h"
@@ -11,7 +11,7 @@
 #include "program/Entry.h"
 #include "program/Log.h"
 #include "program/Metrics.h"
-#include "program/RelayFront.h"
+#include "program/RelayListeners.h"
 #include "transport/Await.h"
 
 #include <boost/asio/as_tuple.hpp>
@@ -31,7 +31,7 @@
 namespace lavenderthread::program {
 
 namespace asio = boost::asio;
-using coordination::directory::LeavingPlan;
+using coordination::directory::ShutdownSchedule;
 using coordination::membership::MemberPhase;
 using std::chrono::milliseconds;
 
@@ -119,15 +119,15 @@
 
 coordination::admission::Event toEvent(const coordination::routing::WorkNote &note)
 {
-    return coordination::admission::PeerWorkNoted{note};
+    return coordination::admission::PeerWorkReceived{note};
 }
 
 coordination::admission::Event toEvent(const coordination::admission::BacklogNote &note)
 {
-    return coordination::admission::PeerBacklogNoted{note};
+    return coordination::admission::PeerBacklogReceived{note};
 }
 
-coordination::admission::Event toEvent(const protocol::CacheNews &news)
+coordination::admission::Event toEvent(const protocol::CacheUpdate &news)
 {
     using coordination::routing::CacheOperation;
     using Kind = protocol::CacheEvent::Kind;
@@ -151,7 +151,7 @@
         , settingsFile(std::move(settingsFile))
         , deployment(deployment)
         , context(static_cast<int>(settings.entry.workers))
-        , registry(std::make_shared<EndpointRegistry>(settings.endpoint.expire))
+        , registry(std::make_shared<EndpointRegistry>(settings.endpoint.expireAfter))
     {}
 
     state::Result<void> start()
@@ -175,8 +175,8 @@
         BOOST_OUTCOME_TRY(this->entry, Entry::create(this->settings, this->context, this->registry,
                                                      this->entryHooks()));
         if (this->servesRelay()) {
-            BOOST_OUTCOME_TRY(this->front, RelayFront::create(this->settings, this->context,
-                                                              this->frontHooks()));
+            BOOST_OUTCOME_TRY(this->front, RelayListeners::create(this->settings, this->context,
+                                                                  this->frontHooks()));
             this->front->start();
         }
         if (this->settings.metricsListen) {
@@ -244,9 +244,9 @@
         return hooks;
     }
 
-    RelayFront::Hooks frontHooks()
+    RelayListeners::Hooks frontHooks()
     {
-        RelayFront::Hooks hooks;
+        RelayListeners::Hooks hooks;
         hooks.deployment = this->deployment;
         hooks.scheduler = this->policy->scheduler();
         hooks.endpoints = [this] { return this->registry->table(); };
@@ -270,7 +270,7 @@
         hooks.loadArrived = [this](const state::LoadReport &report) {
             this->policy->post(coordination::admission::LoadReported{report});
         };
-        hooks.newsArrived = [this](const protocol::PeerNews &news) {
+        hooks.newsArrived = [this](const protocol::PeerUpdate &news) {
             this->policy->post(std::visit([](const auto &each) { return toEvent(each); }, news));
         };
         hooks.superseded = [this] {
@@ -308,7 +308,7 @@
                 return std::nullopt;
             return AccountSetting{account->id, {}, false};
         };
-        hooks.admits = [this] { return !this->client || this->client->admits(); };
+        hooks.isAdmissionAllowed = [this] { return !this->client || this->client->mayAdmit(); };
         hooks.extraRoutes = [this](transport::HttpExchange &exchange,
                                    const AccountSetting *account) {
             return this->controlRoutes(exchange, account);
@@ -328,8 +328,8 @@
         };
         hooks.cacheChanged = [this](const state::EndpointId &id,
                                     const protocol::CacheEventBatch &batch) {
-            this->policy->post(toEvent(protocol::CacheNews{id, batch}));
-            this->cluster->share(protocol::CacheNews{id, batch});
+            this->policy->post(toEvent(protocol::CacheUpdate{id, batch}));
+            this->cluster->share(protocol::CacheUpdate{id, batch});
         };
         hooks.completionFinished = logCompletion;
         hooks.serviceFinished = logService;
@@ -383,7 +383,7 @@
             phase = this->left ? MemberPhase::Left : MemberPhase::Leaving;
         const bool configured = !this->front || this->front->hasConfiguration();
         const bool ready = phase == MemberPhase::Serving && configured
-                           && (!this->client || this->client->admits());
+                           && (!this->client || this->client->mayAdmit());
         this->cluster->setPhase(phase, ready, this->client ? this->client->view()->version : 0);
     }
 
@@ -419,17 +419,17 @@
         co_await this->stopSignals.async_wait(asio::as_tuple(asio::use_awaitable));
         // A second signal stops the process at once: the operator does not want to wait.
         this->stopSignals.async_wait([this](auto, auto) { this->context.stop(); });
-        const LeavingPlan schedule = this->shutdownSchedule();
-        const state::Instant limit = monotonicNow() + schedule.ends;
+        const ShutdownSchedule schedule = this->shutdownSchedule();
+        const state::Instant limit = monotonicNow() + schedule.exitAfter;
         logEvent(LogLevel::Info, "node.leaving",
                  {{"in_flight", std::uint64_t(this->inFlight())},
-                  {"takes_calls_ms", toMilliseconds(schedule.takesCalls)},
-                  {"limit_ms", toMilliseconds(schedule.ends)}});
+                  {"takes_calls_ms", toMilliseconds(schedule.acceptCallsFor)},
+                  {"limit_ms", toMilliseconds(schedule.exitAfter)}});
         this->entry->enter(EntryPhase::Leaving);
         if (this->front)
             this->front->beginLeaving();
         this->publishPhase();
-        co_await transport::pause(milliseconds(toMilliseconds(schedule.takesCalls)));
+        co_await transport::pause(milliseconds(toMilliseconds(schedule.acceptCallsFor)));
         this->entry->enter(EntryPhase::Refusing);
         if (this->front)
             this->front->refuseNew();
@@ -459,8 +459,9 @@
         this->metrics.gauge("configuration_version", [this] {
             return this->client ? double(this->client->view()->configuration.version) : 0.0;
         });
-        this->metrics.gauge("view_fresh",
-                            [this] { return this->client && this->client->admits() ? 1.0 : 0.0; });
+        this->metrics.gauge("view_fresh", [this] {
+            return this->client && this->client->mayAdmit() ? 1.0 : 0.0;
+        });
         this->metrics.gauge("endpoints_known",
                             [this] { return double(this->registry->table()->endpoints.size()); });
         this->metrics.gauge("news_datagrams_lost",
@@ -490,10 +491,10 @@
         return this->entry->inFlight() + (this->front ? this->front->inFlight() : 0);
     }
 
-    LeavingPlan shutdownSchedule() const
+    ShutdownSchedule shutdownSchedule() const
     {
         if (this->settings.relay.listen)
-            return LeavingPlan::within(this->settings.relay.termination);
+            return ShutdownSchedule::within(this->settings.relay.terminationLimit);
         const auto &entry = this->settings.entry;
         return {entry.shutdownGrace, entry.shutdownGrace + entry.shutdownLimit};
     }
@@ -534,7 +535,7 @@
     std::shared_ptr<ControlClient> client;   // null if there are no control members
     std::shared_ptr<DispatcherScheduler> policy;
     std::shared_ptr<Entry> entry;
-    std::shared_ptr<RelayFront> front;                    // null if no relay listener is configured
+    std::shared_ptr<RelayListeners> front;                // null if no relay listener is configured
     std::shared_ptr<transport::HttpServer> metricsServer; // null if not configured
 };
 
--- a/src/program/RelayCodec.h
+++ b/src/program/RelayCodec.h
@@ -28,25 +28,25 @@
     std::string host;                                   // without a port
     std::string accountKey;                             // empty: no key was sent
     std::optional<std::chrono::milliseconds> timeLimit; // how long the caller waits
-    std::optional<std::uint64_t> resumeBehind;          // id of the last event that the caller has
+    std::optional<std::uint64_t> resumeAfter;           // id of the last event that the caller has
     state::ModelName model;
     std::uint32_t promptTokens = 0;
     std::uint32_t outputTokens = 0; // upper limit
 };
 
 // Parameters for forwarding a request to one endpoint.
-struct ForwardTerms
+struct ForwardParameters
 {
     std::chrono::milliseconds timeLeft{};
     state::EndpointId endpoint;        // any other endpoint refuses the request
     state::ClientAccountId account;    // empty: none
     std::optional<unsigned> priority;  // 0 (highest) to 9 (lowest)
     std::vector<HelperTarget> helpers; // engines that each prefill a part of the prompt
-    std::optional<std::uint64_t> resumeBehind;
+    std::optional<std::uint64_t> resumeAfter;
 };
 
 // The head of an endpoint's answer, decoded.
-struct EndpointHead
+struct EndpointAnswerHead
 {
     bool genuine = true; // it answers this request; a success has a valid seal
     bool notRun = false; // the endpoint guarantees that it has not run the request
@@ -62,7 +62,7 @@
 };
 
 // Reservations of engine memory in this protocol.
-struct MemoryOrders
+struct MemoryReservationCodec
 {
     std::function<protocol::HttpRequest(const std::string &lease, std::uint32_t tokens,
                                         std::chrono::milliseconds ttl)>
@@ -76,17 +76,17 @@
 {
     // Error: InvalidArgument if the request lacks a value or has an invalid one.
     std::function<state::Result<RelayRequest>(const protocol::HttpRequest &)> decode;
-    std::function<protocol::HttpRequest(const protocol::HttpRequest &, const ForwardTerms &)>
+    std::function<protocol::HttpRequest(const protocol::HttpRequest &, const ForwardParameters &)>
             forward;
-    std::function<EndpointHead(unsigned status, const protocol::HttpHeaders &,
-                               const state::RequestId &)>
+    std::function<EndpointAnswerHead(unsigned status, const protocol::HttpHeaders &,
+                                     const state::RequestId &)>
             readHead;
     std::function<protocol::HttpResponse(const RelayRefusal &)> refuse;
-    MemoryOrders memory;
+    MemoryReservationCodec memory;
 };
 
 // The calls that operators and endpoints can make.
-struct OperatorFace
+struct OperatorApi
 {
     // Returns the version in force once the document is committed. Error: Timeout if it is unknown
     // whether the document was committed.
@@ -107,7 +107,7 @@
 };
 
 // What the directory interface needs of the product.
-struct DirectoryFace
+struct DirectoryApi
 {
     // Addresses for a caller of that failure domain to connect to; empty if no node is ready.
     std::function<std::vector<state::Address>(const state::FailureDomain &)> entries;
@@ -120,9 +120,9 @@
     RelayCodec relay;
     // Error: InvalidArgument if the text can't be parsed completely or breaks a rule of RouteTable.
     std::function<state::Result<state::routes::RouteTable>(std::string_view)> decodeConfiguration;
-    std::function<boost::asio::awaitable<void>(transport::HttpExchange &, const OperatorFace &)>
+    std::function<boost::asio::awaitable<void>(transport::HttpExchange &, const OperatorApi &)>
             answerOperator;
-    std::function<boost::asio::awaitable<void>(transport::HttpExchange &, const DirectoryFace &)>
+    std::function<boost::asio::awaitable<void>(transport::HttpExchange &, const DirectoryApi &)>
             answerDirectory;
     std::function<boost::asio::awaitable<void>(transport::HttpExchange &, bool ready)>
             answerReadiness;
--- a/src/program/RelayFront.cpp
+++ b/src/program/RelayListeners.cpp
@@ -1,4 +1,4 @@
-#include "program/RelayFront.h"
+#include "program/RelayListeners.h"
 
 #include "program/Clock.h"
 #include "program/Log.h"
@@ -60,7 +60,7 @@
 
 } // namespace
 
-RelayFront::RelayFront(const Settings &settings, Hooks chosenHooks)
+RelayListeners::RelayListeners(const Settings &settings, Hooks chosenHooks)
     : settings(settings)
     , hooks(std::move(chosenHooks))
     , relay(settings,
@@ -70,18 +70,18 @@
              [this] { return this->refusing.load(); }, this->hooks.finished},
             XXH3_64bits(settings.vm.value().data(), settings.vm.value().size())
                     ^ static_cast<std::uint64_t>(wallNow().time_since_epoch().count()))
-    , operatorFace(this->makeOperatorFace())
+    , operatorApi(this->makeOperatorApi())
 {}
 
-state::Result<std::shared_ptr<RelayFront>>
-RelayFront::create(const Settings &settings, asio::io_context &context, Hooks hooks)
+state::Result<std::shared_ptr<RelayListeners>>
+RelayListeners::create(const Settings &settings, asio::io_context &context, Hooks hooks)
 {
-    std::shared_ptr<RelayFront> front(new RelayFront(settings, std::move(hooks)));
+    std::shared_ptr<RelayListeners> front(new RelayListeners(settings, std::move(hooks)));
     BOOST_OUTCOME_TRYV(front->listen(context));
     return front;
 }
 
-state::Result<void> RelayFront::listen(asio::io_context &context)
+state::Result<void> RelayListeners::listen(asio::io_context &context)
 {
     const auto open = [&](const std::optional<state::Address> &address,
                           const transport::HttpLimits &limits, transport::HttpHandler handler,
@@ -110,10 +110,10 @@
                 return this->hooks.deployment.answerReadiness(exchange, ready);
             },
             this->readyServer));
-    const DirectoryFace directory{[this](const state::FailureDomain &callers) {
-                                      return this->hooks.cluster->relays(callers);
-                                  },
-                                  where.directoryTtl};
+    const DirectoryApi directory{[this](const state::FailureDomain &callers) {
+                                     return this->hooks.cluster->relays(callers);
+                                 },
+                                 where.directoryTtl};
     BOOST_OUTCOME_TRYV(open(
             where.directoryListen, auxiliaryLimits(),
             [this, directory](transport::HttpExchange &exchange) {
@@ -123,14 +123,14 @@
     return open(
             where.operatorListen, auxiliaryLimits(),
             [this](transport::HttpExchange &exchange) {
-                return this->hooks.deployment.answerOperator(exchange, this->operatorFace);
+                return this->hooks.deployment.answerOperator(exchange, this->operatorApi);
             },
             this->operatorServer);
 }
 
-OperatorFace RelayFront::makeOperatorFace()
+OperatorApi RelayListeners::makeOperatorApi()
 {
-    OperatorFace face;
+    OperatorApi face;
     face.replaceConfiguration = [this](ConfigurationDocument document) {
         return this->replaceConfiguration(std::move(document));
     };
@@ -160,7 +160,7 @@
 }
 
 asio::awaitable<state::Result<std::uint64_t>>
-RelayFront::replaceConfiguration(ConfigurationDocument document)
+RelayListeners::replaceConfiguration(ConfigurationDocument document)
 {
     const state::Instant began = monotonicNow();
     const std::uint64_t version = document.version;
@@ -188,7 +188,7 @@
     co_return accepted->version;
 }
 
-void RelayFront::start()
+void RelayListeners::start()
 {
     for (const auto &server :
          {this->relayServer, this->readyServer, this->directoryServer, this->operatorServer}) {
@@ -197,7 +197,7 @@
     }
 }
 
-void RelayFront::viewChanged(const state::control::ControlView &view)
+void RelayListeners::viewChanged(const state::control::ControlView &view)
 {
     this->configured = this->configured || view.configuration.version > 0;
     if (!this->relayServer || view.configuration.version <= this->routes.read()->version())
@@ -217,14 +217,14 @@
               {"routes", std::uint64_t(table.value().routes().size())}});
 }
 
-void RelayFront::beginLeaving()
+void RelayListeners::beginLeaving()
 {
     this->leaving = true;
     if (this->relayServer)
         this->relayServer->closeAfterAnswers();
 }
 
-void RelayFront::stopAccepting()
+void RelayListeners::stopAccepting()
 {
     for (const auto &server :
          {this->relayServer, this->readyServer, this->directoryServer, this->operatorServer}) {
--- a/src/program/RelayFront.h
+++ b/src/program/RelayListeners.h
@@ -20,7 +20,7 @@
 namespace lavenderthread::program {
 
 // Owns the listeners and the route table in force, and takes them out of service step by step.
-class RelayFront
+class RelayListeners
 {
 public:
     struct Hooks
@@ -38,7 +38,7 @@
     };
 
     // Error: Unavailable, step "listener.bind".
-    static state::Result<std::shared_ptr<RelayFront>>
+    static state::Result<std::shared_ptr<RelayListeners>>
     create(const Settings &settings, boost::asio::io_context &context, Hooks hooks);
 
     void start();
@@ -54,10 +54,10 @@
     std::size_t inFlight() const { return this->relay.inFlight(); }
 
 private:
-    RelayFront(const Settings &settings, Hooks hooks);
+    RelayListeners(const Settings &settings, Hooks hooks);
 
     state::Result<void> listen(boost::asio::io_context &context);
-    OperatorFace makeOperatorFace();
+    OperatorApi makeOperatorApi();
     boost::asio::awaitable<state::Result<std::uint64_t>>
     replaceConfiguration(state::control::ConfigurationDocument document);
 
@@ -68,7 +68,7 @@
     std::atomic<bool> leaving = false;
     std::atomic<bool> refusing = false;
     RouteRelay relay;
-    OperatorFace operatorFace;
+    OperatorApi operatorApi;
     std::shared_ptr<transport::HttpServer> relayServer;
     std::shared_ptr<transport::HttpServer> readyServer;
     std::shared_ptr<transport::HttpServer> directoryServer;
