--- a/src/program/RouteRelay.cpp
+++ b/src/program/RouteRelay.cpp
@@ -4,7 +4,7 @@
 #include "coordination/relay/EventSplitter.h"
 #include "coordination/relay/FinalAnswer.h"
 #include "program/Clock.h"
-#include "program/SilenceWatch.h"
+#include "program/InactivityTimeout.h"
 #include "transport/Await.h"
 #include "transport/HttpClient.h"
 
@@ -15,11 +15,11 @@
 namespace lavenderthread::program {
 
 namespace asio = boost::asio;
-using coordination::orders::ViewStanding;
-using coordination::relay::AttemptEnd;
-using coordination::relay::CallFacts;
+using coordination::orders::ViewStatus;
+using coordination::relay::AttemptResult;
+using coordination::relay::CallState;
 using coordination::relay::FinalAnswer;
-using coordination::routing::AttemptHealth;
+using coordination::routing::AttemptOutcome;
 using coordination::routing::ReplicaCandidate;
 using state::routes::CallKind;
 using state::routes::Route;
@@ -69,11 +69,11 @@
     return status >= statusOk && status < statusMultipleChoices;
 }
 
-AttemptHealth healthOf(AttemptEnd end)
+AttemptOutcome healthOf(AttemptResult end)
 {
-    if (end == AttemptEnd::Whole)
-        return AttemptHealth::Served;
-    return end == AttemptEnd::NeverSent ? AttemptHealth::Unreachable : AttemptHealth::Failed;
+    if (end == AttemptResult::Complete)
+        return AttemptOutcome::Succeeded;
+    return end == AttemptResult::NeverSent ? AttemptOutcome::Unreachable : AttemptOutcome::Failed;
 }
 
 // The endpoint of an attempt, and how the scheduler wants it to run there.
@@ -109,7 +109,7 @@
 
     asio::awaitable<RelayOutcome> run()
     {
-        this->exchange.onCallerGone([this] { this->callerLeft(); });
+        this->exchange.onCallerGone([this] { this->callerDisconnected(); });
         const bool accepted = co_await this->accept();
         if (accepted) {
             if (this->routes->service(this->outcome.service)->engine)
@@ -164,41 +164,41 @@
             return RelayRefusal{503, "this node is leaving", retryElsewhere};
         if (this->routes->version() == 0)
             return RelayRefusal{503, "no configuration is known yet", retryWithoutConfiguration};
-        const ViewStanding standing = this->hooks.standing();
-        if (standing == ViewStanding::Outdated)
+        const ViewStatus standing = this->hooks.standing();
+        if (standing == ViewStatus::Outdated)
             return RelayRefusal{503, "a newer configuration has not come yet", retryElsewhere};
         this->route = this->routes->match(this->request.host, this->exchange.request().path());
         if (this->route == nullptr)
-            return refusalUnder(standing, {404, "no route leads there", std::nullopt});
+            return refusalForViewStatus(standing, {404, "no route leads there", std::nullopt});
         this->outcome.route = this->route->name;
         const auto *account = this->routes->accountOfKey(this->request.accountKey);
         if (account == nullptr && this->routes->needsKeys() && !this->route->anonymous)
-            return refusalUnder(standing,
-                                {401, "the account key is missing or not known", std::nullopt});
+            return refusalForViewStatus(
+                    standing, {401, "the account key is missing or not known", std::nullopt});
         if (account != nullptr)
             this->outcome.account = account->id;
         const milliseconds time = std::min(this->request.timeLimit.value_or(this->route->timeout),
                                            this->route->timeout);
         this->deadline = this->arrival + time;
         this->outcome.service =
-                state::routes::pickService(this->route->services, this->relay.draw());
+                state::routes::pickService(this->route->services, this->relay.drawUniform());
         this->facts.repeatable = this->route->isRepeatable();
-        this->facts.allowedRuns = std::max(this->route->attempts, 1U);
-        if (this->request.resumeBehind)
-            this->events.resumeBehind(*this->request.resumeBehind);
+        this->facts.maxRuns = std::max(this->route->attempts, 1U);
+        if (this->request.resumeAfter)
+            this->events.resumeAfter(*this->request.resumeAfter);
         return std::nullopt;
     }
 
     // The route or key may have been added since the last confirmed configuration, so a node that
     // could not learn of it must not refuse the request permanently.
-    static RelayRefusal refusalUnder(ViewStanding standing, RelayRefusal refusal)
+    static RelayRefusal refusalForViewStatus(ViewStatus standing, RelayRefusal refusal)
     {
-        if (standing == ViewStanding::Confirmed)
+        if (standing == ViewStatus::Confirmed)
             return refusal;
         return {503, refusal.detail + ", and the configuration is not confirmed", retryUnconfirmed};
     }
 
-    void callerLeft()
+    void callerDisconnected()
     {
         this->facts.callerGone = true;
         this->running->interrupt();
@@ -214,20 +214,20 @@
         PlacementResult placement =
                 co_await this->hooks.scheduler.place(std::move(scheduledRequest));
         if (!placement) {
-            co_await this->giveUp(placement.error().detail, placement.error().retryAfter);
+            co_await this->sendFinalAnswer(placement.error().detail, placement.error().retryAfter);
             co_return;
         }
         std::uint32_t lastAttempt = 0;
         while (placement) {
             const Placement current = placement.value();
             lastAttempt = current.attempt;
-            const AttemptEnd end = co_await this->attemptOn(current);
-            if (end == AttemptEnd::Whole) {
-                this->hooks.scheduler.noteHealth(current.endpoint, AttemptHealth::Served);
+            const AttemptResult end = co_await this->attemptOn(current);
+            if (end == AttemptResult::Complete) {
+                this->hooks.scheduler.noteHealth(current.endpoint, AttemptOutcome::Succeeded);
                 break;
             }
-            this->noteTime();
-            if (!coordination::relay::mayTryAgain(this->facts, end))
+            this->updateTimeIsOver();
+            if (!coordination::relay::mayRetry(this->facts, end))
                 break;
             this->running->renew();
             placement = co_await this->hooks.scheduler.placeAgain(this->request.id, current,
@@ -239,7 +239,7 @@
                 this->outcome.reason = placement.error().detail + "; " + this->outcome.reason;
                 retryAfter = placement.error().retryAfter;
             }
-            co_await this->giveUp(this->outcome.reason, retryAfter);
+            co_await this->sendFinalAnswer(this->outcome.reason, retryAfter);
         }
         this->hooks.scheduler.finished(this->request.id, lastAttempt, this->outcome.whole);
     }
@@ -260,11 +260,11 @@
         });
     }
 
-    AttemptFailure failureOf(AttemptEnd end) const
+    AttemptFailure failureOf(AttemptResult end) const
     {
-        if (end == AttemptEnd::NeverSent)
+        if (end == AttemptResult::NeverSent)
             return AttemptFailure::Unreachable;
-        if (end == AttemptEnd::NotRun)
+        if (end == AttemptResult::NotRun)
             return this->peerFailed ? AttemptFailure::PeerLost : AttemptFailure::NotRun;
         return AttemptFailure::Lost;
     }
@@ -283,21 +283,21 @@
         wanted.arrival = this->arrival;
         wanted.deadline = this->deadline;
         wanted.idempotent = this->facts.repeatable;
-        wanted.firstTarget = this->route->firstAnswerTarget;
-        wanted.pause = this->route->pauseTarget;
-        wanted.attempts = this->facts.allowedRuns;
+        wanted.firstEventTarget = this->route->firstAnswerTarget;
+        wanted.toleratedPause = this->route->pauseTarget;
+        wanted.attempts = this->facts.maxRuns;
         wanted.interrupt = [running = this->running] { running->interrupt(); };
         return wanted;
     }
 
-    asio::awaitable<AttemptEnd> attemptOn(Placement placement)
+    asio::awaitable<AttemptResult> attemptOn(Placement placement)
     {
         Target target;
         target.endpoint = placement.endpoint;
         target.priority = placement.priority;
         target.helpers = placement.helpers;
         this->attemptNumber = placement.attempt;
-        this->outcome.predictedFirst = placement.predictedFirst;
+        this->outcome.predictedFirst = placement.predictedFirstEvent;
         co_return co_await this->attempt(std::move(target));
     }
 
@@ -319,18 +319,18 @@
             tried.push_back(replica->id);
             Target target;
             target.endpoint = *replica;
-            const AttemptEnd end = co_await this->attempt(std::move(target));
-            this->endOnReplica(*replica, end);
-            if (end == AttemptEnd::Whole)
+            const AttemptResult end = co_await this->attempt(std::move(target));
+            this->recordReplicaResult(*replica, end);
+            if (end == AttemptResult::Complete)
                 co_return;
-            this->noteTime();
-            const bool tokenTaken = std::exchange(this->retryPaid, false);
-            if (!coordination::relay::mayTryAgain(this->facts, end)
-                || !(tokenTaken || this->takeRetry()))
+            this->updateTimeIsOver();
+            const bool tokenTaken = std::exchange(this->retryTokenTaken, false);
+            if (!coordination::relay::mayRetry(this->facts, end)
+                || !(tokenTaken || this->takeRetryToken()))
                 break;
             this->running->renew();
         }
-        co_await this->giveUp(this->outcome.reason, retryWithoutEndpoint);
+        co_await this->sendFinalAnswer(this->outcome.reason, retryWithoutEndpoint);
     }
 
     std::optional<state::EndpointDescription>
@@ -342,34 +342,38 @@
             if (endpoint.description.service == this->outcome.service && !endpoint.draining)
                 candidates.push_back({endpoint.description, endpoint.stale});
         }
-        const std::lock_guard lock(this->relay.choosing);
+        const std::lock_guard lock(this->relay.choiceMutex);
         const auto chosen = this->relay.chooser.choose(candidates, tried, monotonicNow());
         if (!chosen)
             return std::nullopt;
-        this->relay.chooser.began(candidates[*chosen].description.id);
+        this->relay.chooser.callStarted(candidates[*chosen].description.id);
         return candidates[*chosen].description;
     }
 
-    void endOnReplica(const state::EndpointDescription &replica, AttemptEnd end)
+    void recordReplicaResult(const state::EndpointDescription &replica, AttemptResult end)
     {
         // A healthy endpoint also answers a request that it can't carry out with its own error.
-        const AttemptHealth health = this->facts.callerGone ? AttemptHealth::Served : healthOf(end);
-        const std::lock_guard lock(this->relay.choosing);
-        this->relay.chooser.ended(replica, health, monotonicNow());
-        if (end == AttemptEnd::Whole)
-            this->relay.budgetOf(this->outcome.service).succeeded();
+        const AttemptOutcome health =
+                this->facts.callerGone ? AttemptOutcome::Succeeded : healthOf(end);
+        const std::lock_guard lock(this->relay.choiceMutex);
+        this->relay.chooser.callEnded(replica, health, monotonicNow());
+        if (end == AttemptResult::Complete)
+            this->relay.retryBudgetOf(this->outcome.service).addSuccess();
     }
 
-    bool takeRetry()
+    bool takeRetryToken()
     {
-        const std::lock_guard lock(this->relay.choosing);
-        return this->relay.budgetOf(this->outcome.service).take();
+        const std::lock_guard lock(this->relay.choiceMutex);
+        return this->relay.retryBudgetOf(this->outcome.service).tryTake();
     }
 
-    void noteTime() { this->facts.timeIsOver = remaining(this->deadline) == milliseconds(0); }
+    void updateTimeIsOver()
+    {
+        this->facts.deadlinePassed = remaining(this->deadline) == milliseconds(0);
+    }
 
     // Sends the request to one endpoint and counts in `facts` whether it may have run there.
-    asio::awaitable<AttemptEnd> attempt(Target target)
+    asio::awaitable<AttemptResult> attempt(Target target)
     {
         ++this->outcome.attempts;
         this->outcome.endpoint = target.endpoint.id;
@@ -377,40 +381,40 @@
         this->outcome.helpers.clear();
         for (const HelperTarget &helper : target.helpers)
             this->outcome.helpers.push_back(helper.address);
-        this->outcome.resumed = this->events.passed() > 0;
-        this->watchSilence();
-        const AttemptEnd end = co_await this->exchangeWith(std::move(target));
-        if (this->silence)
-            this->silence->stop();
-        if (this->silence && this->silence->hasGivenUp())
+        this->outcome.resumed = this->events.passedEvents() > 0;
+        this->startInactivityTimeout();
+        const AttemptResult end = co_await this->exchangeWith(std::move(target));
+        if (this->inactivityTimeout)
+            this->inactivityTimeout->stop();
+        if (this->inactivityTimeout && this->inactivityTimeout->hasTimedOut())
             this->outcome.reason = "the endpoint was silent for too long";
         switch (end) {
-        case AttemptEnd::Whole:
+        case AttemptResult::Complete:
             break;
-        case AttemptEnd::NeverSent:
-        case AttemptEnd::NotRun:
+        case AttemptResult::NeverSent:
+        case AttemptResult::NotRun:
             ++this->facts.refusals;
             break;
-        case AttemptEnd::Failed:
-        case AttemptEnd::Lost:
+        case AttemptResult::Failed:
+        case AttemptResult::Lost:
             ++this->facts.runs;
             break;
         }
         co_return end;
     }
 
-    asio::awaitable<AttemptEnd> exchangeWith(Target target)
+    asio::awaitable<AttemptResult> exchangeWith(Target target)
     {
         const milliseconds left = remaining(this->deadline);
         if (left == milliseconds(0) || this->facts.callerGone)
-            co_return AttemptEnd::NeverSent;
-        ForwardTerms terms;
+            co_return AttemptResult::NeverSent;
+        ForwardParameters terms;
         terms.timeLeft = left;
         terms.endpoint = target.endpoint.id;
         terms.account = this->outcome.account;
         terms.priority = target.priority;
         terms.helpers = target.helpers;
-        terms.resumeBehind = this->events.lastId();
+        terms.resumeAfter = this->events.lastId();
         protocol::HttpRequest forwarded =
                 this->hooks.codec.forward(this->exchange.request(), terms);
         transport::HttpCallLimits limits;
@@ -425,109 +429,111 @@
             co_return this->openFailed(opened.error());
         transport::HttpAnswerStream &stream = opened.value();
         const protocol::HttpHeaders headers = stream.headers();
-        const EndpointHead head =
+        const EndpointAnswerHead head =
                 this->hooks.codec.readHead(stream.status(), headers, this->request.id);
-        this->noteHead(target, head);
+        this->recordAnswerHead(target, head);
         if (!head.genuine) {
             this->outcome.reason = "the answer was not to this request";
-            co_return AttemptEnd::Lost;
+            co_return AttemptResult::Lost;
         }
         if (head.notRun) {
             this->outcome.reason =
                     "refused by the endpoint with " + std::to_string(stream.status());
-            co_return AttemptEnd::NotRun;
+            co_return AttemptResult::NotRun;
         }
         if (isSuccess(stream.status()) && this->route->kind == CallKind::Stream)
             co_return co_await this->relayStream(stream, headers);
-        co_return co_await this->relayWhole(stream, headers);
+        co_return co_await this->relayBuffered(stream, headers);
     }
 
-    AttemptEnd openFailed(const state::Error &error)
+    AttemptResult openFailed(const state::Error &error)
     {
         this->outcome.reason = error.step + ": " + error.cause;
         const bool unseen =
                 error.step == transport::connectStep || error.step == transport::beforeSendStep;
-        return unseen ? AttemptEnd::NeverSent : AttemptEnd::Lost;
+        return unseen ? AttemptResult::NeverSent : AttemptResult::Lost;
     }
 
-    void noteHead(const Target &target, const EndpointHead &head)
+    void recordAnswerHead(const Target &target, const EndpointAnswerHead &head)
     {
         this->peerFailed = head.faulty && *head.faulty != target.endpoint.address;
         if (this->peerFailed)
-            this->hooks.scheduler.blame(*head.faulty);
+            this->hooks.scheduler.reportPeerFailure(*head.faulty);
         if (!head.load || !head.genuine)
             return;
-        const std::lock_guard lock(this->relay.choosing);
-        this->relay.chooser.reported(target.endpoint.id, *head.load, monotonicNow());
+        const std::lock_guard lock(this->relay.choiceMutex);
+        this->relay.chooser.loadReported(target.endpoint.id, *head.load, monotonicNow());
     }
 
-    milliseconds firstPatience() const
+    milliseconds firstAnswerTimeout() const
     {
         return std::max(shortestInactivityTimeout,
                         this->route->firstAnswerTarget * firstAnswerTargetFactor);
     }
 
-    milliseconds pausePatience() const
+    milliseconds pauseTimeout() const
     {
         return std::max(shortestInactivityTimeout, this->route->pauseTarget * pauseTargetFactor);
     }
 
-    void watchSilence()
+    void startInactivityTimeout()
     {
-        this->silence.reset();
+        this->inactivityTimeout.reset();
         if (!this->facts.repeatable || this->route->kind != CallKind::Stream)
             return;
-        SilenceWatch::Hooks watchHooks;
-        watchHooks.giveUp = [running = this->running] { running->interrupt(); };
+        InactivityTimeout::Hooks watchHooks;
+        watchHooks.onTimeout = [running = this->running] { running->interrupt(); };
         if (this->scheduled) {
-            watchHooks.mayMove = [mayMove = this->hooks.scheduler.mayMove, id = this->request.id,
-                                  attempt = this->attemptNumber] { return mayMove(id, attempt); };
+            watchHooks.mayRetryElsewhere = [mayMove = this->hooks.scheduler.mayAbandon,
+                                            id = this->request.id, attempt = this->attemptNumber] {
+                return mayMove(id, attempt);
+            };
         } else {
-            watchHooks.mayMove = [this]() -> asio::awaitable<bool> {
+            watchHooks.mayRetryElsewhere = [this]() -> asio::awaitable<bool> {
                 co_return this->mayMoveToReplica();
             };
         }
-        this->silence = SilenceWatch::start(this->exchange.executor(), this->firstPatience(),
-                                            std::move(watchHooks));
+        this->inactivityTimeout = InactivityTimeout::start(
+                this->exchange.executor(), this->firstAnswerTimeout(), std::move(watchHooks));
     }
 
     bool mayMoveToReplica()
     {
-        CallFacts next = this->facts;
+        CallState next = this->facts;
         ++next.runs;
-        this->retryPaid =
-                this->retryPaid
-                || (coordination::relay::mayTryAgain(next, AttemptEnd::Lost) && this->takeRetry());
-        return this->retryPaid;
+        this->retryTokenTaken = this->retryTokenTaken
+                                || (coordination::relay::mayRetry(next, AttemptResult::Lost)
+                                    && this->takeRetryToken());
+        return this->retryTokenTaken;
     }
 
     // Reads the complete answer before sending any of it. If it breaks off, the request can still
     // be retried elsewhere or be answered with an accurate error.
-    asio::awaitable<AttemptEnd> relayWhole(transport::HttpAnswerStream &stream,
-                                           protocol::HttpHeaders headers)
+    asio::awaitable<AttemptResult> relayBuffered(transport::HttpAnswerStream &stream,
+                                                 protocol::HttpHeaders headers)
     {
         protocol::HttpResponse answer{stream.status(), std::move(headers), {}};
         while (true) {
             const auto piece = co_await stream.read(remaining(this->deadline));
             if (!piece) {
                 this->outcome.reason = piece.error().step + ": " + piece.error().cause;
-                co_return AttemptEnd::Lost;
+                co_return AttemptResult::Lost;
             }
             if (!piece.value())
                 break;
             answer.body += *piece.value();
             if (answer.body.size() > largestAnswer) {
                 this->outcome.reason = "the answer is larger than may be kept";
-                co_return AttemptEnd::Lost;
+                co_return AttemptResult::Lost;
             }
         }
         if (answer.status >= statusServerError) {
             this->outcome.reason = "the endpoint answered " + std::to_string(answer.status);
             this->endpointAnswer = std::move(answer);
-            co_return AttemptEnd::Failed;
+            co_return AttemptResult::Failed;
         }
         co_await this->respond(std::move(answer));
-        co_return AttemptEnd::Whole;
+        co_return AttemptResult::Complete;
     }
 
     asio::awaitable<void> respond(protocol::HttpResponse answer)
@@ -540,40 +546,41 @@
 
     // Forwards complete events as they arrive. The head is sent with the first event, so that the
     // caller does not notice an endpoint that fails before it.
-    asio::awaitable<AttemptEnd> relayStream(transport::HttpAnswerStream &stream,
-                                            protocol::HttpHeaders headers)
+    asio::awaitable<AttemptResult> relayStream(transport::HttpAnswerStream &stream,
+                                               protocol::HttpHeaders headers)
     {
-        this->events.dropRest();
+        this->events.dropPartialEvent();
         while (true) {
             const auto piece = co_await stream.read(remaining(this->deadline));
             if (!piece) {
                 this->outcome.reason = piece.error().step + ": " + piece.error().cause;
-                co_return AttemptEnd::Lost;
+                co_return AttemptResult::Lost;
             }
             if (!piece.value())
                 break;
-            const std::string whole = this->events.take(*piece.value());
+            const std::string whole = this->events.append(*piece.value());
             if (whole.empty())
                 continue;
-            if (this->silence)
-                this->silence->heard(this->pausePatience());
-            const bool passed = co_await this->passOn(whole, headers);
+            if (this->inactivityTimeout)
+                this->inactivityTimeout->restart(this->pauseTimeout());
+            const bool passed = co_await this->forwardEvents(whole, headers);
             if (!passed)
-                co_return AttemptEnd::Lost;
+                co_return AttemptResult::Lost;
         }
-        if (this->events.hasRest()) {
+        if (this->events.hasPartialEvent()) {
             this->outcome.reason = "the stream ended inside an event";
-            co_return AttemptEnd::Lost;
+            co_return AttemptResult::Lost;
         }
         co_return co_await this->finishStream(headers);
     }
 
-    asio::awaitable<bool> passOn(std::string_view events, const protocol::HttpHeaders &headers)
+    asio::awaitable<bool> forwardEvents(std::string_view events,
+                                        const protocol::HttpHeaders &headers)
     {
         const bool begun = co_await this->beginAnswer(headers);
         if (!begun)
             co_return false;
-        this->notePause();
+        this->recordPause();
         const auto sent = co_await this->exchange.write(events);
         if (sent)
             co_return true;
@@ -582,7 +589,7 @@
         co_return false;
     }
 
-    void notePause()
+    void recordPause()
     {
         const state::Instant now = monotonicNow();
         if (this->lastEventAt != state::Instant{})
@@ -607,26 +614,27 @@
         co_return sent.has_value();
     }
 
-    asio::awaitable<AttemptEnd> finishStream(const protocol::HttpHeaders &headers)
+    asio::awaitable<AttemptResult> finishStream(const protocol::HttpHeaders &headers)
     {
         const bool begun = co_await this->beginAnswer(headers);
         if (!begun)
-            co_return AttemptEnd::Lost;
+            co_return AttemptResult::Lost;
         const auto sent = co_await this->exchange.finishStream();
         this->outcome.whole = sent.has_value();
-        co_return sent ? AttemptEnd::Whole : AttemptEnd::Lost;
+        co_return sent ? AttemptResult::Complete : AttemptResult::Lost;
     }
 
     // Sends the final answer to a request that no endpoint has answered completely.
-    asio::awaitable<void> giveUp(std::string detail, std::optional<milliseconds> retryAfter)
+    asio::awaitable<void> sendFinalAnswer(std::string detail,
+                                          std::optional<milliseconds> retryAfter)
     {
-        this->noteTime();
+        this->updateTimeIsOver();
         this->outcome.reason = detail;
         switch (coordination::relay::finalAnswer(this->facts, this->endpointAnswer.has_value())) {
         case FinalAnswer::None:
             this->outcome.status = 0;
             break;
-        case FinalAnswer::Cut:
+        case FinalAnswer::Truncated:
             break; // the server closes the unfinished answer
         case FinalAnswer::EndpointAnswer:
             co_await this->respond(std::move(*this->endpointAnswer));
@@ -672,14 +680,15 @@
     const Route *route = nullptr; // of `routes`
     state::Instant deadline;
     state::Instant lastEventAt;
-    CallFacts facts;
+    CallState facts;
     RelayOutcome outcome;
     coordination::relay::EventSplitter events;
     std::optional<protocol::HttpResponse>
             endpointAnswer; // the last error that an endpoint answered
     std::shared_ptr<RunningAttempt> running = std::make_shared<RunningAttempt>();
-    std::shared_ptr<SilenceWatch> silence; // of the running attempt, if it may be abandoned
-    bool retryPaid = false;                // a retry token was taken for a move to another replica
+    std::shared_ptr<InactivityTimeout>
+            inactivityTimeout;    // of the running attempt, if it may be abandoned
+    bool retryTokenTaken = false; // a retry token was taken for a move to another replica
     bool scheduled = false;
     bool peerFailed = false;         // the last answer reports the failure of another endpoint
     std::uint32_t attemptNumber = 0; // number that the scheduler gave the attempt
@@ -701,13 +710,13 @@
     this->hooks.finished(outcome);
 }
 
-double RouteRelay::draw()
+double RouteRelay::drawUniform()
 {
-    const std::lock_guard lock(this->choosing);
+    const std::lock_guard lock(this->choiceMutex);
     return std::uniform_real_distribution<double>(0, 1)(this->random);
 }
 
-coordination::admission::RetryBudget &RouteRelay::budgetOf(const state::ServiceName &service)
+coordination::admission::RetryBudget &RouteRelay::retryBudgetOf(const state::ServiceName &service)
 {
     return this->budgets.try_emplace(service, retriesPerRequest, retriesAtOnce).first->second;
 }
--- a/src/program/RouteRelay.h
+++ b/src/program/RouteRelay.h
@@ -58,7 +58,7 @@
         Scheduler scheduler; // for engines
         std::function<state::SnapshotView<EndpointTable>()> endpoints;
         std::function<state::SnapshotView<state::routes::RouteTable>()> routes;
-        std::function<coordination::orders::ViewStanding()> standing; // of `routes`
+        std::function<coordination::orders::ViewStatus()> standing; // of `routes`
         std::function<bool()> refuses; // true: this node is shutting down, no new work
         std::function<void(const RelayOutcome &)> finished;
     };
@@ -74,13 +74,13 @@
 private:
     friend class RelayedCall;
 
-    double draw();
-    coordination::admission::RetryBudget &budgetOf(const state::ServiceName &service);
+    double drawUniform();
+    coordination::admission::RetryBudget &retryBudgetOf(const state::ServiceName &service);
 
     const Settings &settings;
     Hooks hooks;
     std::atomic<std::size_t> requestsInFlight = 0;
-    std::mutex choosing; // guards the members below; held only for a choice, never across I/O
+    std::mutex choiceMutex; // guards the members below; held only for a choice, never across I/O
     std::mt19937_64 random;
     coordination::routing::ReplicaChooser chooser;
     std::map<state::ServiceName, coordination::admission::RetryBudget> budgets;
--- a/src/program/Scheduler.h
+++ b/src/program/Scheduler.h
@@ -28,8 +28,8 @@
     state::Instant arrival;
     state::Instant deadline;
     bool idempotent = true;
-    state::Duration firstTarget{0}; // as in CompletionRequest
-    state::Duration pause{0};
+    state::Duration firstEventTarget{0}; // as in CompletionRequest
+    state::Duration toleratedPause{0};
     std::uint32_t attempts = 0; // the most engines to try; 0: as the policy sets it
     // Called on the scheduler's strand to end the running attempt: it was abandoned, or its caller
     // or an engine that it needs is gone. Empty: the engine is told to end the stream instead.
@@ -63,7 +63,8 @@
     std::uint32_t to = 0;
     bool final = true;                 // the engine then generates the answer; false for a slice
     std::vector<HelperTarget> helpers; // each prefills as many tokens as the endpoint does
-    state::Duration predictedFirst{0}; // from the placement to the first event; 0: not predicted
+    state::Duration predictedFirstEvent{
+            0}; // from the placement to the first event; 0: not predicted
 
     auto operator<=>(const Placement &) const = default;
 };
@@ -88,7 +89,7 @@
             placeAgain;
     // Asks whether to abandon an attempt whose engine has been silent for long. True: abandon it;
     // placeAgain() finds another engine. False: no other attempt is possible; keep waiting.
-    std::function<boost::asio::awaitable<bool>(state::RequestId, std::uint32_t attempt)> mayMove;
+    std::function<boost::asio::awaitable<bool>(state::RequestId, std::uint32_t attempt)> mayAbandon;
     // A slice has been prefilled; waits for the next slice or for the final placement.
     std::function<boost::asio::awaitable<PlacementResult>(state::RequestId, Placement done)>
             sliceDone;
@@ -100,10 +101,10 @@
     // The caller has disconnected; a place() or placeAgain() that is waiting ends at once.
     std::function<void(const state::RequestId &)> cancel;
     // Reports what the end of an attempt says about the endpoint's health.
-    std::function<void(const state::EndpointDescription &, coordination::routing::AttemptHealth)>
+    std::function<void(const state::EndpointDescription &, coordination::routing::AttemptOutcome)>
             noteHealth;
     // Reports that an engine named this peer, which it needed for the prompt, as failed.
-    std::function<void(const state::Address &)> blame;
+    std::function<void(const state::Address &)> reportPeerFailure;
     // Whether the endpoint is still known to be alive under that incarnation.
     std::function<bool(const state::EndpointDescription &)> isAlive;
 };
--- a/src/program/SchedulerTranslation.cpp
+++ b/src/program/SchedulerTranslation.cpp
@@ -48,12 +48,13 @@
               {"endpoint", action.engine.value()},
               {"helpers", std::uint64_t(action.helpers.size())},
               {"reserved", std::uint64_t(action.helperLeases.size())},
-              {"predicted_first_us", std::int64_t(action.predictedFirst.count())},
-              {"waiting_us", std::int64_t(action.look.waitingSeconds * usPerSecond)},
-              {"engines", std::uint64_t(action.look.engines)},
-              {"brief_engines", std::uint64_t(action.look.briefEngines)},
-              {"briefs", std::uint64_t(action.look.briefs)},
-              {"long_demand_milli", std::int64_t(action.look.longDemand * thousandthsPerUnit)}});
+              {"predicted_first_us", std::int64_t(action.predictedFirstEvent.count())},
+              {"waiting_us", std::int64_t(action.placementSnapshot.waitingSeconds * usPerSecond)},
+              {"engines", std::uint64_t(action.placementSnapshot.engines)},
+              {"brief_engines", std::uint64_t(action.placementSnapshot.briefEngines)},
+              {"briefs", std::uint64_t(action.placementSnapshot.briefRequests)},
+              {"long_demand_milli",
+               std::int64_t(action.placementSnapshot.longDemand * thousandthsPerUnit)}});
 }
 
 void logRefusal(const admission::Refuse &action, const Problem &problem)
@@ -63,13 +64,14 @@
               {"cause", problem.title},
               {"ran", protocol::toString(problem.ran)},
               {"retry_after_us", std::int64_t(action.retryAfter.count())},
-              {"predicted_first_us", std::int64_t(action.predictedFirst.count())},
+              {"predicted_first_us", std::int64_t(action.predictedFirstEvent.count())},
               {"queued_us", std::int64_t(action.queuedSeconds * usPerSecond)},
-              {"waiting_us", std::int64_t(action.look.waitingSeconds * usPerSecond)},
-              {"engines", std::uint64_t(action.look.engines)},
-              {"brief_engines", std::uint64_t(action.look.briefEngines)},
-              {"briefs", std::uint64_t(action.look.briefs)},
-              {"long_demand_milli", std::int64_t(action.look.longDemand * thousandthsPerUnit)}});
+              {"waiting_us", std::int64_t(action.placementSnapshot.waitingSeconds * usPerSecond)},
+              {"engines", std::uint64_t(action.placementSnapshot.engines)},
+              {"brief_engines", std::uint64_t(action.placementSnapshot.briefEngines)},
+              {"briefs", std::uint64_t(action.placementSnapshot.briefRequests)},
+              {"long_demand_milli",
+               std::int64_t(action.placementSnapshot.longDemand * thousandthsPerUnit)}});
 }
 
 admission::CompletionRequest toAdmission(const ScheduledRequest &request)
@@ -85,9 +87,9 @@
     admitted.arrival = request.arrival;
     admitted.deadline = request.deadline;
     admitted.idempotent = request.idempotent;
-    admitted.firstTarget = request.firstTarget;
-    admitted.pause = request.pause;
-    admitted.attempts = request.attempts;
+    admitted.firstEventTarget = request.firstEventTarget;
+    admitted.toleratedPause = request.toleratedPause;
+    admitted.attemptLimit = request.attempts;
     return admitted;
 }
 
--- a/src/program/ServerSentEvents.cpp
+++ b/src/program/ServerSentEvents.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-std::vector<ServerSentEvent> ServerSentEventReader::feed(std::string_view piece)
+std::vector<ServerSentEvent> ServerSentEventParser::feed(std::string_view piece)
 {
     this->partial += piece;
     std::vector<ServerSentEvent> events;
--- a/src/program/ServerSentEvents.h
+++ b/src/program/ServerSentEvents.h
@@ -17,7 +17,7 @@
 };
 
 // Incremental parser; keeps an incomplete event until the rest arrives.
-class ServerSentEventReader
+class ServerSentEventParser
 {
 public:
     // Appends `piece` and returns the events that it completes.
--- a/src/program/Settings.cpp
+++ b/src/program/Settings.cpp
@@ -36,8 +36,9 @@
     entry.listen = addressOf(document.text("entry.listen"));
     entry.workers = static_cast<std::uint32_t>(document.integer("entry.workers"));
     entry.directoryTtl = milliseconds(document, "entry.directory_ttl_ms");
-    entry.headerBytes = static_cast<std::uint32_t>(document.integer("entry.header_limit_bytes"));
-    entry.bodyBytes = static_cast<std::uint64_t>(document.integer("entry.body_limit_bytes"));
+    entry.headerLimitBytes =
+            static_cast<std::uint32_t>(document.integer("entry.header_limit_bytes"));
+    entry.bodyLimitBytes = static_cast<std::uint64_t>(document.integer("entry.body_limit_bytes"));
     entry.connections = static_cast<std::uint32_t>(document.integer("entry.connections"));
     entry.requestTimeout = milliseconds(document, "entry.request_timeout_ms");
     entry.idleTimeout = milliseconds(document, "entry.idle_timeout_ms");
@@ -50,10 +51,10 @@
 EndpointSettings endpointSettings(const SettingsDocument &document)
 {
     EndpointSettings endpoint;
-    endpoint.renew = milliseconds(document, "endpoint.renew_ms");
-    endpoint.expire = milliseconds(document, "endpoint.expire_ms");
+    endpoint.renewInterval = milliseconds(document, "endpoint.renew_ms");
+    endpoint.expireAfter = milliseconds(document, "endpoint.expire_ms");
     endpoint.connectTimeout = milliseconds(document, "endpoint.connect_timeout_ms");
-    endpoint.silence = milliseconds(document, "endpoint.silence_ms");
+    endpoint.silenceTimeout = milliseconds(document, "endpoint.silence_ms");
     return endpoint;
 }
 
@@ -65,15 +66,15 @@
     relay.directoryListen = optionalAddress(document.text("relay.directory_listen"));
     relay.operatorListen = optionalAddress(document.text("relay.operator_listen"));
     relay.directoryTtl = milliseconds(document, "relay.directory_ttl_ms");
-    relay.heartbeat = milliseconds(document, "relay.heartbeat_ms");
-    relay.termination = milliseconds(document, "relay.termination_ms");
+    relay.heartbeatInterval = milliseconds(document, "relay.heartbeat_ms");
+    relay.terminationLimit = milliseconds(document, "relay.termination_ms");
     return relay;
 }
 
 GossipSettings gossipSettings(const SettingsDocument &document)
 {
     GossipSettings gossip;
-    gossip.probe = milliseconds(document, "gossip.probe_ms");
+    gossip.probeInterval = milliseconds(document, "gossip.probe_ms");
     gossip.suspicionProbes = static_cast<unsigned>(document.integer("gossip.suspicion_probes"));
     gossip.bytesPerSecond = static_cast<unsigned>(document.integer("gossip.bytes_per_second"));
     return gossip;
@@ -92,18 +93,18 @@
 
 void readLists(const SettingsDocument &document, Settings &settings)
 {
-    for (std::size_t index = 0; index < document.objects("accounts"); ++index) {
+    for (std::size_t index = 0; index < document.listLength("accounts"); ++index) {
         const std::string path = "accounts[" + std::to_string(index) + "].";
         settings.accounts.push_back({state::ClientAccountId(document.text(path + "id")),
                                      document.text(path + "key"),
                                      document.flag(path + "operator")});
     }
-    for (std::size_t index = 0; index < document.objects("services"); ++index) {
+    for (std::size_t index = 0; index < document.listLength("services"); ++index) {
         const std::string path = "services[" + std::to_string(index) + "].";
         settings.services.push_back({state::ServiceName(document.text(path + "name")),
                                      document.list(path + "non_idempotent")});
     }
-    for (std::size_t index = 0; index < document.objects("control.members"); ++index) {
+    for (std::size_t index = 0; index < document.listLength("control.members"); ++index) {
         const std::string path = "control.members[" + std::to_string(index) + "].";
         settings.controlMembers.push_back({state::VmId(document.text(path + "id")),
                                            addressOf(document.text(path + "address")),
@@ -118,7 +119,7 @@
     };
     if (settings.controlListen && settings.dataFolder.empty())
         return fail("control.data_folder: needed where control.listen is set");
-    if (settings.endpoint.expire <= settings.endpoint.renew)
+    if (settings.endpoint.expireAfter <= settings.endpoint.renewInterval)
         return fail("endpoint.expire_ms: must be more than endpoint.renew_ms");
     std::set<std::string> seen;
     for (const AccountSetting &account : settings.accounts) {
--- a/src/program/Settings.h
+++ b/src/program/Settings.h
@@ -38,8 +38,8 @@
     state::Address listen;
     std::uint32_t workers = 4;
     std::chrono::milliseconds directoryTtl{};
-    std::uint32_t headerBytes = 0;
-    std::uint64_t bodyBytes = 0;
+    std::uint32_t headerLimitBytes = 0;
+    std::uint64_t bodyLimitBytes = 0;
     std::uint32_t connections = 0;
     std::chrono::milliseconds requestTimeout{};
     std::chrono::milliseconds idleTimeout{};
@@ -50,10 +50,10 @@
 
 struct EndpointSettings
 {
-    std::chrono::milliseconds renew{};
-    std::chrono::milliseconds expire{};
+    std::chrono::milliseconds renewInterval{};
+    std::chrono::milliseconds expireAfter{};
     std::chrono::milliseconds connectTimeout{};
-    std::chrono::milliseconds silence{};
+    std::chrono::milliseconds silenceTimeout{};
 };
 
 // The transparent relay and its auxiliary listeners; an absent address is not served.
@@ -64,13 +64,13 @@
     std::optional<state::Address> directoryListen;
     std::optional<state::Address> operatorListen;
     std::chrono::milliseconds directoryTtl{};
-    std::chrono::milliseconds heartbeat{};
-    std::chrono::milliseconds termination{};
+    std::chrono::milliseconds heartbeatInterval{};
+    std::chrono::milliseconds terminationLimit{};
 };
 
 struct GossipSettings
 {
-    std::chrono::milliseconds probe{};
+    std::chrono::milliseconds probeInterval{};
     unsigned suspicionProbes = 0;
     unsigned bytesPerSecond = 0;
 };
--- a/src/program/SettingsSchema.cpp
+++ b/src/program/SettingsSchema.cpp
@@ -51,7 +51,7 @@
 
 std::string allowed(const SettingRule &rule)
 {
-    const std::string range = numberText(rule.least) + " to " + numberText(rule.most);
+    const std::string range = numberText(rule.minimum) + " to " + numberText(rule.maximum);
     const std::string unit = rule.unit.empty() ? "" : " " + rule.unit;
     switch (rule.type) {
     case SettingType::Integer:
@@ -69,7 +69,7 @@
 
 bool within(double value, const SettingRule &rule)
 {
-    return value >= rule.least && value <= rule.most;
+    return value >= rule.minimum && value <= rule.maximum;
 }
 
 bool isAddress(const json::value &value)
@@ -168,7 +168,7 @@
         else if (value != nullptr && !fits(*value, rule))
             this->problem(path, "expected " + allowed(rule) + ", found " + json::serialize(*value));
         else
-            this->document.values[path] = value != nullptr ? *value : rule.standard;
+            this->document.values[path] = value != nullptr ? *value : rule.defaultValue;
     }
 
     void readSection(const json::object &object, const std::string &name,
@@ -250,7 +250,7 @@
     return items;
 }
 
-std::size_t SettingsDocument::objects(const std::string &listPath) const
+std::size_t SettingsDocument::listLength(const std::string &listPath) const
 {
     return this->lengths.at(listPath);
 }
@@ -266,11 +266,12 @@
             page += "\n## " + section
                     + "\n\n| Setting | Allowed | Default | Meaning |\n| --- | --- | --- | --- |\n";
         }
-        const std::string defaultText = rule.required             ? "required"
-                                        : rule.standard.is_null() ? "absent"
-                                                                  : json::serialize(rule.standard);
+        const std::string defaultText = rule.required ? "required"
+                                        : rule.defaultValue.is_null()
+                                                ? "absent"
+                                                : json::serialize(rule.defaultValue);
         page += "| `" + rule.path + "` | " + allowed(rule) + " | " + defaultText + " | "
-                + rule.meaning + " |\n";
+                + rule.description + " |\n";
     }
     return page;
 }
--- a/src/program/SettingsSchema.h
+++ b/src/program/SettingsSchema.h
@@ -20,12 +20,12 @@
 {
     std::string path; // "entry.listen"; "accounts[].id" for a member of each object of a list
     SettingType type = SettingType::Text;
-    std::string unit;            // "ms", "bytes"; empty if none
-    boost::json::value standard; // null if required, or if optional without a default
+    std::string unit;                // "ms", "bytes"; empty if none
+    boost::json::value defaultValue; // null if required, or if optional without a default
     bool required = false;
-    double least = 0; // numbers: range; texts and lists: length
-    double most = 0;
-    std::string meaning;
+    double minimum = 0; // numbers: range; texts and lists: length
+    double maximum = 0;
+    std::string description;
 };
 
 const std::vector<SettingRule> &settingRules();
@@ -44,7 +44,7 @@
     double number(const std::string &path) const;
     bool flag(const std::string &path) const;
     std::vector<std::string> list(const std::string &path) const;
-    std::size_t objects(const std::string &listPath) const; // length of a list of objects
+    std::size_t listLength(const std::string &listPath) const; // length of a list of objects
 
 private:
     std::map<std::string, boost::json::value> values;
--- a/src/program/TableCommands.cpp
+++ b/src/program/TableCommands.cpp
@@ -88,8 +88,9 @@
     return format == TableFormat::Csv ? table::exportCsv(shown) : table::exportJson(shown);
 }
 
-state::Result<control::EditRows> planSet(const table::Table &current, const state::TableKey &key,
-                                         const std::vector<std::string> &assignments)
+state::Result<control::EditRows> planRowEdit(const table::Table &current,
+                                             const state::TableKey &key,
+                                             const std::vector<std::string> &assignments)
 {
     const table::StoredRow *known = current.find(key);
     state::TableRow row = known ? known->row : state::TableRow{.key = key};
@@ -126,8 +127,8 @@
 {
     std::vector<control::EditRows> commands;
     const std::vector<table::RowEdit> &edits = difference.edits;
-    for (std::size_t first = 0; first < edits.size(); first += editsOfOneCommand) {
-        const std::size_t last = std::min(edits.size(), first + editsOfOneCommand);
+    for (std::size_t first = 0; first < edits.size(); first += maxEditsPerCommand) {
+        const std::size_t last = std::min(edits.size(), first + maxEditsPerCommand);
         commands.push_back({{edits.begin() + static_cast<std::ptrdiff_t>(first),
                              edits.begin() + static_cast<std::ptrdiff_t>(last)}});
     }
--- a/src/program/TableCommands.h
+++ b/src/program/TableCommands.h
@@ -25,9 +25,9 @@
 
 // `table set ACCOUNT WORK_CLASS weight=5 priority=2`: one edit based on the fetched version.
 // Error: InvalidArgument, naming row, column and allowed range.
-state::Result<state::control::EditRows> planSet(const state::table::Table &table,
-                                                const state::TableKey &key,
-                                                const std::vector<std::string> &assignments);
+state::Result<state::control::EditRows> planRowEdit(const state::table::Table &table,
+                                                    const state::TableKey &key,
+                                                    const std::vector<std::string> &assignments);
 
 // `table apply FILE [--dry-run] [--remove-missing]`: the difference, to be shown or sent.
 // Error: InvalidArgument, listing every invalid cell.
@@ -37,7 +37,7 @@
 
 // Splits the edits into commands that each fit in one log entry. A command is applied atomically; a
 // table of up to `maxEditsPerCommand` rows is one command.
-constexpr std::size_t editsOfOneCommand = 10'000;
+constexpr std::size_t maxEditsPerCommand = 10'000;
 std::vector<state::control::EditRows> commandsFor(const state::table::TableDifference &difference);
 
 // Output of a dry run as JSON: {"changes":[{"kind","account","work_class","stale","cells":{…}}]}.
--- a/src/protocol/Completion.cpp
+++ b/src/protocol/Completion.cpp
@@ -99,7 +99,7 @@
             return bodyError("stream: expected true or false");
         body.stream = stream->get_bool();
     }
-    body.prefixBlocks = coordination::routing::chainPrefixBlocks(prompt, prefixBlockTokens);
+    body.prefixBlocks = coordination::routing::hashPrefixBlocks(prompt, prefixBlockTokens);
     return body;
 }
 
--- a/src/protocol/ConsensusMessages.cpp
+++ b/src/protocol/ConsensusMessages.cpp
@@ -11,7 +11,7 @@
 
 using coordination::consensus::AppendRequest;
 using coordination::consensus::Message;
-using coordination::consensus::SnapshotPiece;
+using coordination::consensus::SnapshotChunk;
 
 namespace {
 
@@ -39,7 +39,7 @@
     return true;
 }
 
-bool isValid(const SnapshotPiece &piece)
+bool isValid(const SnapshotChunk &piece)
 {
     return piece.offset <= piece.totalBytes
            && piece.bytes.size() <= piece.totalBytes - piece.offset;
--- a/src/protocol/EventId.cpp
+++ b/src/protocol/EventId.cpp
@@ -25,7 +25,7 @@
     return text;
 }
 
-state::Result<EventId> openEventId(const SealKeys &keys, std::string_view text)
+state::Result<EventId> unsealEventId(const SealKeys &keys, std::string_view text)
 {
     const auto fail = [] {
         return state::makeError(state::ErrorCode::InvalidArgument, "event-id.open", "not hex");
--- a/src/protocol/EventId.h
+++ b/src/protocol/EventId.h
@@ -33,6 +33,6 @@
 // Returns hex text without whitespace, as required by the `id:` line of a server-sent event.
 std::string sealEventId(const SealKeys &keys, const EventId &id);
 // Errors: InvalidArgument (not hex), Unauthorized (seal), Corrupt.
-state::Result<EventId> openEventId(const SealKeys &keys, std::string_view text);
+state::Result<EventId> unsealEventId(const SealKeys &keys, std::string_view text);
 
 } // namespace lavenderthread::protocol
--- a/src/protocol/FeedEncoder.cpp
+++ b/src/protocol/FeedEncoder.cpp
@@ -51,12 +51,12 @@
 
 } // namespace
 
-void FeedEncoder::note(const control::ControlView &view)
+void FeedEncoder::recordView(const control::ControlView &view)
 {
-    if (view.version == this->noted)
+    if (view.version == this->recordedVersion)
         return;
-    this->noted = view.version;
-    this->encoded.clear();
+    this->recordedVersion = view.version;
+    this->encodedContents.clear();
     const control::ConfigurationDocument &newest = view.configuration;
     if (newest.version == 0
         || (!this->documents.empty() && this->documents.back().version == newest.version))
@@ -67,18 +67,20 @@
         this->documents.pop_front();
 }
 
-const FeedContent &FeedEncoder::contentFor(const control::ControlState &state, const HeldView &held)
+const FeedContent &FeedEncoder::contentFor(const control::ControlState &state,
+                                           const InForceVersions &held)
 {
-    this->note(state.view());
-    const auto known = this->encoded.find(held);
-    if (known != this->encoded.end())
+    this->recordView(state.view());
+    const auto known = this->encodedContents.find(held);
+    if (known != this->encodedContents.end())
         return known->second;
-    if (this->encoded.size() >= maxCachedContents)
-        this->encoded.clear();
-    return this->encoded.emplace(held, this->encode(state, held)).first->second;
+    if (this->encodedContents.size() >= maxCachedContents)
+        this->encodedContents.clear();
+    return this->encodedContents.emplace(held, this->encode(state, held)).first->second;
 }
 
-FeedContent FeedEncoder::encode(const control::ControlState &state, const HeldView &held) const
+FeedContent FeedEncoder::encode(const control::ControlState &state,
+                                const InForceVersions &held) const
 {
     FeedContent content;
     std::vector<control::FeedPage> pages = state.changesSince(held.version);
--- a/src/protocol/FeedEncoder.h
+++ b/src/protocol/FeedEncoder.h
@@ -34,12 +34,12 @@
 };
 
 // Versions that an entry has in force.
-struct HeldView
+struct InForceVersions
 {
     std::uint64_t version = 0;
     std::uint64_t configuration = 0; // 0: none that a patch may apply to
 
-    auto operator<=>(const HeldView &) const = default;
+    auto operator<=>(const InForceVersions &) const = default;
 };
 
 struct FeedContent
@@ -63,18 +63,20 @@
 public:
     // Must be called after each change of the state: a configuration that was never recorded can't
     // be the base of a patch.
-    void note(const state::control::ControlView &view);
+    void recordView(const state::control::ControlView &view);
     // Records the state's view, then returns the changes that an entry with `held` lacks. The
     // reference is valid until the next call.
-    const FeedContent &contentFor(const state::control::ControlState &state, const HeldView &held);
+    const FeedContent &contentFor(const state::control::ControlState &state,
+                                  const InForceVersions &held);
 
 private:
-    FeedContent encode(const state::control::ControlState &state, const HeldView &held) const;
+    FeedContent encode(const state::control::ControlState &state,
+                       const InForceVersions &held) const;
     ConfigurationPatch patchFrom(std::uint64_t base) const;
 
-    std::uint64_t noted = 0; // version of the last recorded view
+    std::uint64_t recordedVersion = 0; // version of the last recorded view
     std::deque<state::control::ConfigurationDocument> documents; // oldest first
-    std::map<HeldView, FeedContent> encoded;                     // cache for the recorded view
+    std::map<InForceVersions, FeedContent> encodedContents;      // cache for the recorded view
 };
 
 // Restores the control member's pages. `held` is the configuration in force on this entry. Errors:
--- a/src/protocol/PeerNews.cpp
+++ b/src/protocol/PeerUpdate.cpp
@@ -1,5 +1,5 @@
 // Packs as many updates into each datagram as fit; every datagram can be decoded on its own.
-#include "protocol/PeerNews.h"
+#include "protocol/PeerUpdate.h"
 
 #include "protocol/Envelope.h"
 
@@ -16,17 +16,18 @@
 constexpr std::size_t cacheOverheadBytes = 300;
 
 // Splits a batch of cache events into updates that each fit a datagram.
-std::vector<PeerNews> splitIntoDatagrams(const PeerNews &update)
+std::vector<PeerUpdate> splitIntoDatagrams(const PeerUpdate &update)
 {
-    constexpr std::size_t maxEvents = (maximumPeerNewsBytes - cacheOverheadBytes) / cacheEventBytes;
-    const auto *cache = std::get_if<CacheNews>(&update);
+    constexpr std::size_t maxEvents =
+            (maximumPeerUpdateBytes - cacheOverheadBytes) / cacheEventBytes;
+    const auto *cache = std::get_if<CacheUpdate>(&update);
     if (cache == nullptr || cache->batch.events.size() <= maxEvents)
         return {update};
-    std::vector<PeerNews> pieces;
+    std::vector<PeerUpdate> pieces;
     const auto &events = cache->batch.events;
     for (std::size_t at = 0; at < events.size(); at += maxEvents) {
-        CacheNews piece{cache->endpoint,
-                        {cache->batch.incarnation, cache->batch.firstSequence + at, {}}};
+        CacheUpdate piece{cache->endpoint,
+                          {cache->batch.incarnation, cache->batch.firstSequence + at, {}}};
         const std::size_t end = std::min(at + maxEvents, events.size());
         piece.batch.events.assign(events.begin() + static_cast<std::ptrdiff_t>(at),
                                   events.begin() + static_cast<std::ptrdiff_t>(end));
@@ -37,10 +38,11 @@
 
 } // namespace
 
-std::vector<std::string> sealPeerNews(const SealKeys &keys, const std::vector<PeerNews> &updates)
+std::vector<std::string> sealPeerUpdates(const SealKeys &keys,
+                                         const std::vector<PeerUpdate> &updates)
 {
     std::vector<std::string> datagrams;
-    std::vector<PeerNews> pending;
+    std::vector<PeerUpdate> pending;
     std::size_t pendingBytes = 0;
     const auto flush = [&] {
         if (!pending.empty())
@@ -48,10 +50,10 @@
         pending.clear();
         pendingBytes = 0;
     };
-    for (const PeerNews &whole : updates) {
-        for (const PeerNews &piece : splitIntoDatagrams(whole)) {
+    for (const PeerUpdate &whole : updates) {
+        for (const PeerUpdate &piece : splitIntoDatagrams(whole)) {
             const std::size_t bytes = encode(piece).size();
-            if (pendingBytes + bytes + sealBytes + sizeof(std::uint64_t) > maximumPeerNewsBytes)
+            if (pendingBytes + bytes + sealBytes + sizeof(std::uint64_t) > maximumPeerUpdateBytes)
                 flush();
             pending.push_back(piece);
             pendingBytes += bytes;
@@ -61,10 +63,11 @@
     return datagrams;
 }
 
-state::Result<std::vector<PeerNews>> unsealPeerNews(const SealKeys &keys, std::string_view datagram)
+state::Result<std::vector<PeerUpdate>> unsealPeerUpdates(const SealKeys &keys,
+                                                         std::string_view datagram)
 {
     BOOST_OUTCOME_TRY(const std::string bytes, unseal(keys, peerNewsContext, datagram));
-    return decode<std::vector<PeerNews>>(bytes);
+    return decode<std::vector<PeerUpdate>>(bytes);
 }
 
 } // namespace lavenderthread::protocol
--- a/src/protocol/PeerNews.h
+++ b/src/protocol/PeerUpdate.h
@@ -15,7 +15,7 @@
 namespace lavenderthread::protocol {
 
 // Cache events of an endpoint that is registered with the sender.
-struct CacheNews
+struct CacheUpdate
 {
     state::EndpointId endpoint;
     CacheEventBatch batch;
@@ -27,16 +27,17 @@
     }
 };
 
-using PeerNews = std::variant<coordination::routing::WorkNote, coordination::admission::BacklogNote,
-                              CacheNews>;
+using PeerUpdate = std::variant<coordination::routing::WorkNote,
+                                coordination::admission::BacklogNote, CacheUpdate>;
 
 // Size limit of a sealed datagram; below the MTU of all common network paths.
-constexpr std::size_t maximumPeerNewsBytes = 1'200;
+constexpr std::size_t maximumPeerUpdateBytes = 1'200;
 
 // Packs the updates into as many datagrams as needed.
-std::vector<std::string> sealPeerNews(const SealKeys &keys, const std::vector<PeerNews> &updates);
+std::vector<std::string> sealPeerUpdates(const SealKeys &keys,
+                                         const std::vector<PeerUpdate> &updates);
 // Errors: Unauthorized, Unsupported, Corrupt.
-state::Result<std::vector<PeerNews>> unsealPeerNews(const SealKeys &keys,
-                                                    std::string_view datagram);
+state::Result<std::vector<PeerUpdate>> unsealPeerUpdates(const SealKeys &keys,
+                                                         std::string_view datagram);
 
 } // namespace lavenderthread::protocol
--- a/src/state/ByteBudget.h
+++ b/src/state/ByteBudget.h
@@ -14,7 +14,7 @@
     ByteBudget(double bytesPerSecond, double burstBytes, double minimumBytes, Instant start)
         : rate(bytesPerSecond)
         , burst(burstBytes)
-        , least(minimumBytes)
+        , minimumAvailable(minimumBytes)
         , available(burstBytes)
         , refilledAt(start)
     {}
@@ -30,7 +30,8 @@
     }
     void spend(std::size_t bytes)
     {
-        this->available = std::max(this->least, this->available - static_cast<double>(bytes));
+        this->available =
+                std::max(this->minimumAvailable, this->available - static_cast<double>(bytes));
     }
 
 private:
@@ -39,7 +40,7 @@
     // Lower bound of `available`, in bytes. Where traffic that is sent regardless of the budget
     // uses up the whole rate, such as probes on a bad network, an unlimited debt would leave no
     // bytes for other traffic ever again.
-    double least;
+    double minimumAvailable;
     double available;
     Instant refilledAt;
 };
--- a/src/state/control/ClaimLedger.cpp
+++ b/src/state/control/ClaimLedger.cpp
@@ -145,7 +145,7 @@
     return granted;
 }
 
-Claim *ClaimLedger::heldBy(const ClaimHolder &holder, const ClaimId &id)
+Claim *ClaimLedger::findHeldClaim(const ClaimHolder &holder, const ClaimId &id)
 {
     const auto found = this->claims.find(id);
     return found == this->claims.end() || found->second.holder != holder ? nullptr : &found->second;
@@ -160,7 +160,7 @@
 
 ClaimAnswer ClaimLedger::dispatch(const DispatchClaim &command)
 {
-    Claim *held = this->heldBy(command.holder, command.id);
+    Claim *held = this->findHeldClaim(command.holder, command.id);
     if (held == nullptr)
         return this->notHolder(command.id);
     Claim &claim = *held;
@@ -174,7 +174,7 @@
 
 ClaimAnswer ClaimLedger::release(const ReleaseClaim &command)
 {
-    Claim *held = this->heldBy(command.holder, command.id);
+    Claim *held = this->findHeldClaim(command.holder, command.id);
     if (held == nullptr)
         return this->notHolder(command.id);
     Claim &claim = *held;
@@ -186,7 +186,7 @@
 
 ClaimAnswer ClaimLedger::finish(const FinishClaim &command)
 {
-    Claim *held = this->heldBy(command.holder, command.id);
+    Claim *held = this->findHeldClaim(command.holder, command.id);
     if (held == nullptr)
         return this->notHolder(command.id);
     Claim &claim = *held;
@@ -208,22 +208,22 @@
 void ClaimLedger::entryLost(const EntryLost &command)
 {
     std::vector<ClaimId> lost;
-    for (const auto &[until, id] : this->open) {
+    for (const auto &[until, id] : this->openByExpiry) {
         const ClaimHolder &holder = this->claims.at(id).holder;
         if (holder.entry == command.entry && holder.entryIncarnation <= command.incarnation)
             lost.push_back(id);
     }
     for (const ClaimId &id : lost)
-        this->settle(this->claims.at(id));
+        this->closeOpenClaim(this->claims.at(id));
 }
 
 void ClaimLedger::advance(const AdvanceTime &command)
 {
     this->clock += std::clamp(command.elapsed, Duration(0), this->limits.longestStep);
-    while (!this->open.empty() && this->open.begin()->first <= this->clock)
-        this->settle(this->claims.at(this->open.begin()->second));
-    while (!this->decided.empty() && this->decided.begin()->first <= this->clock)
-        this->erase(this->decided.begin()->second);
+    while (!this->openByExpiry.empty() && this->openByExpiry.begin()->first <= this->clock)
+        this->closeOpenClaim(this->claims.at(this->openByExpiry.begin()->second));
+    while (!this->decidedByExpiry.empty() && this->decidedByExpiry.begin()->first <= this->clock)
+        this->erase(this->decidedByExpiry.begin()->second);
 }
 
 const Claim *ClaimLedger::find(const ClaimId &id) const
@@ -235,7 +235,7 @@
 std::vector<ClaimOwner> ClaimLedger::openOwners() const
 {
     std::set<ClaimOwner> owners;
-    for (const auto &[until, id] : this->open) {
+    for (const auto &[until, id] : this->openByExpiry) {
         const ClaimHolder &holder = this->claims.at(id).holder;
         owners.insert({holder.entry, holder.entryIncarnation});
     }
@@ -278,9 +278,9 @@
     this->usedBytes += claimBytes(claim);
     ++this->claimsByAccount[claim.account];
     if (isOpen(claim.state))
-        this->open.emplace(claim.openUntil, claim.id);
+        this->openByExpiry.emplace(claim.openUntil, claim.id);
     else
-        this->decided.emplace(claim.keepUntil, claim.id);
+        this->decidedByExpiry.emplace(claim.keepUntil, claim.id);
     this->claims.insert_or_assign(claim.id, std::move(claim));
 }
 
@@ -289,7 +289,7 @@
     const ClaimId id = wanted; // `wanted` may refer to memory that is freed here
     const Claim &claim = this->claims.at(id);
     this->usedBytes -= claimBytes(claim);
-    this->unlist(claim);
+    this->removeFromExpirySet(claim);
     const auto ofAccount = this->claimsByAccount.find(claim.account);
     if (--ofAccount->second == 0)
         this->claimsByAccount.erase(ofAccount);
@@ -298,21 +298,21 @@
 
 void ClaimLedger::decide(Claim &claim, ClaimState state)
 {
-    this->unlist(claim);
+    this->removeFromExpirySet(claim);
     claim.state = state;
     claim.keepUntil = this->clock + this->limits.resendWindow;
-    this->decided.emplace(claim.keepUntil, claim.id);
+    this->decidedByExpiry.emplace(claim.keepUntil, claim.id);
 }
 
-void ClaimLedger::unlist(const Claim &claim)
+void ClaimLedger::removeFromExpirySet(const Claim &claim)
 {
     if (isOpen(claim.state))
-        this->open.erase({claim.openUntil, claim.id});
+        this->openByExpiry.erase({claim.openUntil, claim.id});
     else
-        this->decided.erase({claim.keepUntil, claim.id});
+        this->decidedByExpiry.erase({claim.keepUntil, claim.id});
 }
 
-void ClaimLedger::settle(Claim &claim)
+void ClaimLedger::closeOpenClaim(Claim &claim)
 {
     // A Held claim certainly never runs: its holder sends nothing before Dispatched is committed,
     // and from here on DispatchClaim is refused.
--- a/src/state/control/ClaimLedger.h
+++ b/src/state/control/ClaimLedger.h
@@ -67,21 +67,23 @@
     using ExpiryKey = std::pair<ControlTime, ClaimId>;
 
     bool hasRoomFor(const ClientAccountId &account) const;
-    Claim *heldBy(const ClaimHolder &holder, const ClaimId &id); // null if `holder` doesn't hold it
+    Claim *findHeldClaim(const ClaimHolder &holder,
+                         const ClaimId &id);        // null if `holder` doesn't hold it
     ClaimAnswer notHolder(const ClaimId &id) const; // contains the present holder, if any
     void insert(Claim claim);
     void erase(const ClaimId &wanted);
-    void unlist(const Claim &claim); // from the expiry set of its state
+    void removeFromExpirySet(const Claim &claim); // from the expiry set of its state
     void decide(Claim &claim, ClaimState state);
-    void settle(Claim &claim); // closes an open claim whose holder is lost or whose time is up
+    void
+    closeOpenClaim(Claim &claim); // closes an open claim whose holder is lost or whose time is up
     void keepResult(Claim &claim, ClaimResult result);
 
     ClaimLimits limits;
     ControlTime clock{};
     std::unordered_map<ClaimId, Claim> claims;
     // Invariant: each claim is in exactly one of these two sets, by its state.
-    std::set<ExpiryKey> open;    // Held and Dispatched, by openUntil
-    std::set<ExpiryKey> decided; // the others, by keepUntil
+    std::set<ExpiryKey> openByExpiry;    // Held and Dispatched, by openUntil
+    std::set<ExpiryKey> decidedByExpiry; // the others, by keepUntil
     std::unordered_map<ClientAccountId, std::size_t> claimsByAccount;
     std::size_t usedBytes = 0; // sum of claimBytes over claims
 };
--- a/src/state/control/ControlState.cpp
+++ b/src/state/control/ControlState.cpp
@@ -90,19 +90,19 @@
 
 ControlState::ControlState(ControlLimits limits, ControlImage image)
     : limits(limits)
-    , lastIndex(image.appliedIndex)
-    , current(ControlView::fromChanges(image.view, image.viewVersion))
+    , lastAppliedIndex(image.appliedIndex)
+    , currentView(ControlView::fromChanges(image.view, image.viewVersion))
     , orderBook(std::move(image.orders))
     , claimLedger(limits.claims, image.now, std::move(image.claims))
     , changes(image.history.begin(), image.history.end())
 {
     for (const RememberedRequest &request : image.requests)
-        this->remember(request.stamp, request.answer);
+        this->rememberAnswer(request.stamp, request.answer);
 }
 
 Answer ControlState::apply(const log::LogPosition &position, const Command &command)
 {
-    this->lastIndex = position.index;
+    this->lastAppliedIndex = position.index;
     if (const auto *operatorCommand = std::get_if<OperatorCommand>(&command))
         return this->applyOperator(*operatorCommand);
     if (const auto *progress = std::get_if<RecordOrderProgress>(&command))
@@ -128,14 +128,14 @@
 // force, and the other operator gets the version in force, which is the same number.
 Answer ControlState::replaceConfiguration(const ConfigurationDocument &document)
 {
-    if (document.version > this->current.configuration.version) {
-        Draft draft{{}, this->lastIndex, {}, {}};
+    if (document.version > this->currentView.configuration.version) {
+        Draft draft{{}, this->lastAppliedIndex, {}, {}};
         draft.add(document, "configuration",
-                  "version " + std::to_string(this->current.configuration.version) + " -> "
+                  "version " + std::to_string(this->currentView.configuration.version) + " -> "
                           + std::to_string(document.version));
         this->commit(std::move(draft));
     }
-    return Accepted{this->current.configuration.version};
+    return Accepted{this->currentView.configuration.version};
 }
 
 Answer ControlState::applyOperator(const OperatorCommand &command)
@@ -151,16 +151,16 @@
                                          + "\" was used before with other content"),
                        RaceWinner{first.operatorId, first.at, 0}};
     }
-    Draft draft{stamp, this->lastIndex, {}, {}};
+    Draft draft{stamp, this->lastAppliedIndex, {}, {}};
     std::optional<RaceWinner> winner;
     const Result<void> checked = std::visit(
             [&](const auto &action) { return this->draft(action, draft, winner); }, command.action);
-    Answer answer = Accepted{this->lastIndex};
+    Answer answer = Accepted{this->lastAppliedIndex};
     if (checked)
         this->commit(std::move(draft));
     else
         answer = Refused{checked.error(), winner};
-    this->remember(stamp, answer);
+    this->rememberAnswer(stamp, answer);
     return answer;
 }
 
@@ -170,12 +170,12 @@
     if (action.edits.empty())
         return invalid("no edits");
     std::set<TableKey> seen;
-    std::size_t rows = this->current.table.size();
+    std::size_t rows = this->currentView.table.size();
     for (const table::RowEdit &edit : action.edits) {
         if (!seen.insert(edit.row.key).second)
             return invalid(rowSubject(edit.row.key) + " is edited twice in one command");
         BOOST_OUTCOME_TRYV(this->draftRow(edit, draft, winner));
-        if (this->current.table.find(edit.row.key) == nullptr)
+        if (this->currentView.table.find(edit.row.key) == nullptr)
             ++rows;
     }
     if (rows > this->limits.tableRows)
@@ -188,7 +188,7 @@
                                     std::optional<RaceWinner> &winner)
 {
     const TableKey &key = edit.row.key;
-    const StoredRow *known = this->current.table.find(key);
+    const StoredRow *known = this->currentView.table.find(key);
     BOOST_OUTCOME_TRYV(this->checkVersion(rowSubject(key), known ? known->row.version : 0,
                                           edit.expectedVersion, winner));
     if (edit.remove) {
@@ -200,7 +200,7 @@
     const std::vector<table::CellProblem> problems = table::checkRow(edit.row);
     if (!problems.empty())
         return table::problemsAsError(problems);
-    if (this->current.catalog.accounts().find(key.account) == nullptr) {
+    if (this->currentView.catalog.accounts().find(key.account) == nullptr) {
         const table::CellProblem unknown{table::describeKey(key), std::string(table::accountColumn),
                                          key.account.value(), "an account of the catalog"};
         return table::problemsAsError({unknown});
@@ -246,7 +246,7 @@
     const std::string subject = "account " + account.id.value();
     if (!table::isPlainId(account.id.value()))
         return invalid(subject + ": the id must be " + std::string(table::allowedId));
-    const table::Catalog &catalog = this->current.catalog;
+    const table::Catalog &catalog = this->currentView.catalog;
     const table::ClientAccount *known = catalog.accounts().find(account.id);
     BOOST_OUTCOME_TRYV(
             this->checkVersion(subject, versionOf(known), action.expectedVersion, winner));
@@ -266,10 +266,10 @@
                                  std::optional<RaceWinner> &winner)
 {
     const std::string subject = "account " + action.key.value();
-    const table::ClientAccount *known = this->current.catalog.accounts().find(action.key);
+    const table::ClientAccount *known = this->currentView.catalog.accounts().find(action.key);
     BOOST_OUTCOME_TRYV(this->checkRemoval(action, subject, known, winner));
     std::size_t rows = 0;
-    this->current.table.forEach(
+    this->currentView.table.forEach(
             [&](const StoredRow &row) { rows += row.row.key.account == action.key ? 1 : 0; });
     if (rows > 0)
         return makeError(ErrorCode::Conflict, "control.apply",
@@ -282,7 +282,7 @@
 Result<void> ControlState::draft(const PutService &action, Draft &draft,
                                  std::optional<RaceWinner> &winner)
 {
-    const auto *known = this->current.catalog.services().find(action.record.name);
+    const auto *known = this->currentView.catalog.services().find(action.record.name);
     return this->draftNamed(action, "service ", known, draft, winner);
 }
 
@@ -290,7 +290,7 @@
                                  std::optional<RaceWinner> &winner)
 {
     const std::string subject = "service " + action.key.value();
-    const auto *known = this->current.catalog.services().find(action.key);
+    const auto *known = this->currentView.catalog.services().find(action.key);
     BOOST_OUTCOME_TRYV(this->checkRemoval(action, subject, known, winner));
     draft.add(action.key, subject, "removed");
     return outcome::success();
@@ -299,7 +299,7 @@
 Result<void> ControlState::draft(const PutModel &action, Draft &draft,
                                  std::optional<RaceWinner> &winner)
 {
-    const auto *known = this->current.catalog.models().find(action.record.name);
+    const auto *known = this->currentView.catalog.models().find(action.record.name);
     return this->draftNamed(action, "model ", known, draft, winner);
 }
 
@@ -307,7 +307,7 @@
                                  std::optional<RaceWinner> &winner)
 {
     const std::string subject = "model " + action.key.value();
-    const auto *known = this->current.catalog.models().find(action.key);
+    const auto *known = this->currentView.catalog.models().find(action.key);
     BOOST_OUTCOME_TRYV(this->checkRemoval(action, subject, known, winner));
     draft.add(action.key, subject, "removed");
     return outcome::success();
@@ -316,7 +316,7 @@
 Result<void> ControlState::draft(const SubmitOrder &action, Draft &draft,
                                  std::optional<RaceWinner> &)
 {
-    BOOST_OUTCOME_TRYV(OrderBook::check(action.spec, this->current.catalog));
+    BOOST_OUTCOME_TRYV(OrderBook::check(action.spec, this->currentView.catalog));
     const OrderKind kind = action.spec.kind;
     const bool draining = kind == OrderKind::Drain || kind == OrderKind::Undrain;
     if (draining) {
@@ -372,10 +372,10 @@
         this->changes.pop_front();
     if (draft.changes.empty())
         return;
-    const std::uint64_t from = this->current.version;
-    this->current = this->current.with(draft.changes, draft.version);
+    const std::uint64_t from = this->currentView.version;
+    this->currentView = this->currentView.with(draft.changes, draft.version);
     if (std::ranges::any_of(draft.changes, isConfiguration))
-        this->forgetOlderConfigurations();
+        this->removeOlderConfigurations();
     this->feedSize += draft.changes.size();
     this->feed.push_back({from, draft.version, std::move(draft.changes)});
     while (this->feedSize > this->limits.feedChanges) {
@@ -386,7 +386,7 @@
 
 // Each configuration replaces the previous one as a whole. If older ones were kept, a hundred of
 // 100 KB each would fill a member's memory, and an entry that is behind would be sent all of them.
-void ControlState::forgetOlderConfigurations()
+void ControlState::removeOlderConfigurations()
 {
     for (FeedDelta &delta : this->feed)
         this->feedSize -= std::erase_if(delta.changes, isConfiguration);
@@ -395,20 +395,20 @@
 // The number of answers is bounded. A resend that arrives after its answer was evicted fails the
 // compare-and-set, since the row's version has changed; a repeated order requests a state that is
 // already reached.
-void ControlState::remember(const OperatorStamp &stamp, const Answer &answer)
+void ControlState::rememberAnswer(const OperatorStamp &stamp, const Answer &answer)
 {
     const RequestKey key{stamp.operatorId, stamp.requestId};
     this->requests.emplace(key, RememberedRequest{stamp, answer});
-    this->requestOrder.push_back(key);
-    while (this->requestOrder.size() > this->limits.requestsRemembered) {
-        this->requests.erase(this->requestOrder.front());
-        this->requestOrder.pop_front();
+    this->requestKeysByAge.push_back(key);
+    while (this->requestKeysByAge.size() > this->limits.requestsRemembered) {
+        this->requests.erase(this->requestKeysByAge.front());
+        this->requestKeysByAge.pop_front();
     }
 }
 
 std::vector<FeedPage> ControlState::changesSince(std::uint64_t version) const
 {
-    if (version == this->current.version)
+    if (version == this->currentView.version)
         return {};
     std::vector<FeedChange> missing;
     bool found = false;
@@ -418,8 +418,8 @@
             missing.insert(missing.end(), delta.changes.begin(), delta.changes.end());
     }
     if (found)
-        return makePages(version, this->current.version, std::move(missing));
-    return makePages(0, this->current.version, this->current.asChanges());
+        return makePages(version, this->currentView.version, std::move(missing));
+    return makePages(0, this->currentView.version, this->currentView.asChanges());
 }
 
 ControlImage ControlState::image() const
@@ -432,11 +432,11 @@
 ControlImage ControlState::copyImage() const
 {
     ControlImage image;
-    image.appliedIndex = this->lastIndex;
-    image.viewVersion = this->current.version;
-    image.view = this->current.asChanges();
+    image.appliedIndex = this->lastAppliedIndex;
+    image.viewVersion = this->currentView.version;
+    image.view = this->currentView.asChanges();
     image.orders = this->orderBook.all();
-    for (const RequestKey &key : this->requestOrder)
+    for (const RequestKey &key : this->requestKeysByAge)
         image.requests.push_back(this->requests.at(key));
     image.history.assign(this->changes.begin(), this->changes.end());
     image.now = this->claimLedger.now();
--- a/src/state/control/ControlState.h
+++ b/src/state/control/ControlState.h
@@ -96,11 +96,11 @@
     // Call once for each committed command, in log order.
     Answer apply(const log::LogPosition &position, const Command &command);
 
-    const ControlView &view() const { return this->current; }
+    const ControlView &view() const { return this->currentView; }
     const OrderBook &orders() const { return this->orderBook; }
     const ClaimLedger &claims() const { return this->claimLedger; }
     const std::deque<ChangeRecord> &history() const { return this->changes; }
-    std::uint64_t appliedIndex() const { return this->lastIndex; }
+    std::uint64_t appliedIndex() const { return this->lastAppliedIndex; }
 
     // The changes after `version`; empty if it is current. A whole view (from = 0) if the changes
     // are no longer kept, or if this state never had `version`.
@@ -156,16 +156,16 @@
                               std::uint64_t expected, std::optional<RaceWinner> &winner) const;
     std::optional<RaceWinner> lastEditor(const std::string &subject) const;
     void commit(Draft draft);
-    void forgetOlderConfigurations();
-    void remember(const OperatorStamp &stamp, const Answer &answer);
+    void removeOlderConfigurations();
+    void rememberAnswer(const OperatorStamp &stamp, const Answer &answer);
 
     ControlLimits limits;
-    std::uint64_t lastIndex = 0;
-    ControlView current;
+    std::uint64_t lastAppliedIndex = 0;
+    ControlView currentView;
     OrderBook orderBook;
     ClaimLedger claimLedger;
     std::map<RequestKey, RememberedRequest> requests;
-    std::deque<RequestKey> requestOrder; // exactly the keys of `requests`, oldest first
+    std::deque<RequestKey> requestKeysByAge; // exactly the keys of `requests`, oldest first
     std::deque<ChangeRecord> changes;
     // Not part of the image: after a restart a member serves whole views until new changes arrive.
     std::deque<FeedDelta> feed; // the `from` of each delta is the `to` of the previous one
--- a/src/state/control/ControlView.cpp
+++ b/src/state/control/ControlView.cpp
@@ -97,7 +97,7 @@
     }
     ControlView view;
     view.table = table::Table::fromValues(std::move(rows));
-    view.catalog = table::Catalog::ofAccounts(accounts);
+    view.catalog = table::Catalog::fromAccounts(accounts);
     return view.with(others, version);
 }
 
@@ -105,12 +105,12 @@
                                 std::vector<FeedChange> changes)
 {
     const std::size_t count =
-            std::max<std::size_t>(1, (changes.size() + changesOfOnePage - 1) / changesOfOnePage);
+            std::max<std::size_t>(1, (changes.size() + changesPerPage - 1) / changesPerPage);
     std::vector<FeedPage> pages;
     for (std::size_t number = 0; number < count; ++number) {
-        const auto first = changes.begin() + static_cast<std::ptrdiff_t>(number * changesOfOnePage);
+        const auto first = changes.begin() + static_cast<std::ptrdiff_t>(number * changesPerPage);
         const auto left = static_cast<std::size_t>(changes.end() - first);
-        const auto last = first + static_cast<std::ptrdiff_t>(std::min(left, changesOfOnePage));
+        const auto last = first + static_cast<std::ptrdiff_t>(std::min(left, changesPerPage));
         pages.push_back({from,
                          to,
                          static_cast<std::uint32_t>(number),
--- a/src/state/control/ControlView.h
+++ b/src/state/control/ControlView.h
@@ -97,7 +97,7 @@
 };
 
 // Keeps every encoded page well below the maximum size of a message between processes.
-constexpr std::size_t changesOfOnePage = 5'000;
+constexpr std::size_t changesPerPage = 5'000;
 
 std::vector<FeedPage> makePages(std::uint64_t from, std::uint64_t to,
                                 std::vector<FeedChange> changes);
--- a/src/state/control/OrderBook.cpp
+++ b/src/state/control/OrderBook.cpp
@@ -89,13 +89,13 @@
 {
     for (auto &[id, earlier] : this->orders) {
         if (earlier.state == OrderState::Open && haveSameSubject(earlier.spec, order.spec))
-            this->giveWay(earlier, order);
+            this->supersede(earlier, order);
     }
     this->orders.emplace(order.id, std::move(order));
-    this->forgetOldest();
+    this->removeOldestClosed();
 }
 
-void OrderBook::giveWay(Order &earlier, const Order &later)
+void OrderBook::supersede(Order &earlier, const Order &later)
 {
     if (later.isStanding()) {
         earlier.state = OrderState::Superseded;
@@ -148,13 +148,13 @@
                                    : OrderState::Done;
 }
 
-void OrderBook::forgetOldest()
+void OrderBook::removeOldestClosed()
 {
     std::size_t closed = 0;
     for (const auto &[id, order] : this->orders)
         closed += order.state == OrderState::Open ? 0 : 1;
     for (auto each = this->orders.begin();
-         each != this->orders.end() && closed > closedOrdersKept;) {
+         each != this->orders.end() && closed > maximumClosedOrders;) {
         if (each->second.state == OrderState::Open) {
             ++each;
             continue;
--- a/src/state/control/OrderBook.h
+++ b/src/state/control/OrderBook.h
@@ -35,15 +35,15 @@
     std::vector<Order> all() const;        // ascending by id
 
 private:
-    void giveWay(Order &earlier, const Order &later);
+    void supersede(Order &earlier, const Order &later);
     void closeIfSettled(Order &order);
-    void forgetOldest();
+    void removeOldestClosed();
 
     std::map<std::uint64_t, Order> orders; // open ones and the most recent closed ones
 };
 
 // Closed orders that are kept for operators to inspect.
-constexpr std::size_t closedOrdersKept = 1'000;
+constexpr std::size_t maximumClosedOrders = 1'000;
 constexpr std::size_t maximumEndpointsOfOrder = 2'000;
 
 } // namespace lavenderthread::state::control
--- a/src/state/routes/EngineProfile.cpp
+++ b/src/state/routes/EngineProfile.cpp
@@ -16,14 +16,14 @@
     const double tokenSeconds =
             profile.prefillTokensPerSecond > 0 ? promptTokens / profile.prefillTokensPerSecond : 0;
     const double millionPairs = promptTokens * promptTokens / 2 / million;
-    return tokenSeconds + millionPairs * profile.pairsMs / msPerSecond;
+    return tokenSeconds + millionPairs * profile.msPerMillionPairs / msPerSecond;
 }
 
 double decodePassSeconds(const EngineProfile &profile, double sequences, double contextTokens)
 {
-    const double step = profile.stepMs + sequences * profile.sequenceStepMs
-                        + contextTokens / thousand * profile.contextStepMs;
-    return step * profile.stridePerPass / msPerSecond;
+    const double step = profile.stepMs + sequences * profile.stepMsPerSequence
+                        + contextTokens / thousand * profile.stepMsPerThousandContextTokens;
+    return step * profile.stepsPerPass / msPerSecond;
 }
 
 } // namespace lavenderthread::state::routes
--- a/src/state/routes/EngineProfile.h
+++ b/src/state/routes/EngineProfile.h
@@ -14,12 +14,13 @@
 {
     std::uint32_t slots = 0;            // requests that run concurrently
     std::uint64_t kvCapacityTokens = 0; // capacity of the KV cache
-    std::uint32_t stridePerPass = 1;    // steps in a pass with decoding requests; tokens per event
+    std::uint32_t stepsPerPass = 1;     // steps in a pass with decoding requests; tokens per event
     double stepMs = 0;                  // base time of one step, without the terms below
-    double sequenceStepMs = 0;          // added for each decoding request
-    double contextStepMs = 0;           // added for each 1,000 context tokens of decoding requests
+    double stepMsPerSequence = 0;       // added for each decoding request
+    double stepMsPerThousandContextTokens =
+            0; // added for each 1,000 context tokens of decoding requests
     double prefillTokensPerSecond = 0;
-    double pairsMs = 0;           // added for each million pairs of a token and an earlier one
+    double msPerMillionPairs = 0; // added for each million pairs of a token and an earlier one
     std::uint32_t stepTokens = 0; // maximum number of tokens prefilled in one step
     double reportLagMs = 0;       // age of the engine's load reports
 
--- a/src/state/routes/RouteTable.cpp
+++ b/src/state/routes/RouteTable.cpp
@@ -60,9 +60,9 @@
                 return invalid("route " + route.name + " names the unknown service "
                                + share.service.value());
         }
-        this->routesOfHost[route.host].push_back(index);
+        this->routesByHost[route.host].push_back(index);
     }
-    for (auto &[host, indices] : this->routesOfHost) {
+    for (auto &[host, indices] : this->routesByHost) {
         std::ranges::stable_sort(indices, std::greater<>(), [this](std::size_t index) {
             return this->draft.routes[index].pathPrefix.size();
         });
@@ -76,7 +76,7 @@
         return outcome::success();
     for (std::size_t index = 0; index < this->draft.accounts->size(); ++index) {
         for (const std::string &key : (*this->draft.accounts)[index].keys) {
-            const auto [known, added] = this->accountOfKeyIndex.emplace(key, index);
+            const auto [known, added] = this->accountIndexByKey.emplace(key, index);
             if (!added && known->second != index)
                 return invalid("two accounts share a key");
         }
@@ -86,8 +86,8 @@
 
 const Route *RouteTable::match(std::string_view host, std::string_view path) const
 {
-    const auto found = this->routesOfHost.find(host);
-    if (found == this->routesOfHost.end())
+    const auto found = this->routesByHost.find(host);
+    if (found == this->routesByHost.end())
         return nullptr;
     for (const std::size_t index : found->second) {
         if (path.starts_with(this->draft.routes[index].pathPrefix))
@@ -98,8 +98,8 @@
 
 const RouteAccount *RouteTable::accountOfKey(std::string_view key) const
 {
-    const auto found = this->accountOfKeyIndex.find(std::string(key));
-    return found == this->accountOfKeyIndex.end() ? nullptr
+    const auto found = this->accountIndexByKey.find(std::string(key));
+    return found == this->accountIndexByKey.end() ? nullptr
                                                   : &(*this->draft.accounts)[found->second];
 }
 
--- a/src/state/routes/RouteTable.h
+++ b/src/state/routes/RouteTable.h
@@ -51,9 +51,9 @@
 
     RouteTableDraft draft;
     // Positions in draft.routes by host, longest prefix first.
-    std::map<std::string, std::vector<std::size_t>, std::less<>> routesOfHost;
+    std::map<std::string, std::vector<std::size_t>, std::less<>> routesByHost;
     std::map<ServiceName, std::size_t> serviceIndex; // positions in draft.services
-    std::unordered_map<std::string, std::size_t> accountOfKeyIndex;
+    std::unordered_map<std::string, std::size_t> accountIndexByKey;
 };
 
 // Weighted choice: the service of the share that `draw`, uniform over [0, 1), falls into. The sum
--- a/src/state/table/Catalog.cpp
+++ b/src/state/table/Catalog.cpp
@@ -36,7 +36,7 @@
     return this->accountsByHash.find(hash);
 }
 
-Catalog Catalog::ofAccounts(const std::vector<ClientAccount> &accounts)
+Catalog Catalog::fromAccounts(const std::vector<ClientAccount> &accounts)
 {
     std::vector<ClientAccount> withKeys;
     for (const ClientAccount &account : accounts) {
--- a/src/state/table/Catalog.h
+++ b/src/state/table/Catalog.h
@@ -114,7 +114,7 @@
     const ClientAccount *accountOfBearerKeyHash(const std::string &hash) const;
 
     // A catalog of only these accounts; for many accounts much faster than repeated withAccount().
-    static Catalog ofAccounts(const std::vector<ClientAccount> &accounts);
+    static Catalog fromAccounts(const std::vector<ClientAccount> &accounts);
     Catalog withAccount(const ClientAccount &account) const;
     Catalog withoutAccount(const ClientAccountId &id) const;
     Catalog withService(const Service &service) const;
--- a/src/state/table/Columns.cpp
+++ b/src/state/table/Columns.cpp
@@ -48,8 +48,8 @@
 
 std::string rangeOf(const Column &column)
 {
-    return "a whole number from " + std::to_string(column.smallest) + " to "
-           + std::to_string(column.largest);
+    return "a whole number from " + std::to_string(column.minimum) + " to "
+           + std::to_string(column.maximum);
 }
 
 } // namespace
@@ -84,7 +84,7 @@
                             std::string(allowedId)});
     for (const Column &column : allColumns) {
         const std::uint64_t value = column.get(row);
-        if (value < column.smallest || value > column.largest)
+        if (value < column.minimum || value > column.maximum)
             problems.push_back(
                     {name, std::string(column.name), std::to_string(value), rangeOf(column)});
     }
@@ -113,7 +113,7 @@
     std::uint64_t value = 0;
     const auto [end, problem] = std::from_chars(text.data(), text.data() + text.size(), value);
     const bool whole = problem == std::errc() && end == text.data() + text.size();
-    if (!whole || value < known->smallest || value > known->largest) {
+    if (!whole || value < known->minimum || value > known->maximum) {
         const CellProblem bad{describeKey(row.key), std::string(column), std::string(text),
                               rangeOf(*known)};
         return makeError(ErrorCode::InvalidArgument, "table.cell", bad.describe(),
--- a/src/state/table/Columns.h
+++ b/src/state/table/Columns.h
@@ -19,8 +19,8 @@
 struct Column
 {
     std::string_view name;
-    std::uint64_t smallest;
-    std::uint64_t largest;
+    std::uint64_t minimum;
+    std::uint64_t maximum;
     std::uint64_t (*get)(const TableRow &);
     void (*set)(TableRow &, std::uint64_t);
 };
--- a/src/state/table/PersistentMap.h
+++ b/src/state/table/PersistentMap.h
@@ -33,7 +33,7 @@
                                   && KeyOf()(values[index]) == KeyOf()(values[index + 1]);
             if (replaced)
                 continue;
-            if (list.empty() || list.back()->size() >= fillOfNewChunks)
+            if (list.empty() || list.back()->size() >= initialChunkSize)
                 list.push_back(std::make_shared<Chunk>());
             list.back()->push_back(std::make_shared<const Value>(std::move(values[index])));
             ++map.count;
@@ -45,7 +45,7 @@
     // Null if absent. The value is valid as long as this map or a copy that still contains it.
     const Value *find(const Key &key) const
     {
-        const std::size_t place = this->chunkOf(key);
+        const std::size_t place = this->findChunkIndex(key);
         if (place == this->chunks->size())
             return nullptr;
         const Chunk &chunk = *(*this->chunks)[place];
@@ -62,7 +62,7 @@
         ChunkList list(*this->chunks);
         if (list.empty())
             list.push_back(std::make_shared<Chunk>());
-        const std::size_t place = std::min(this->chunkOf(key), list.size() - 1);
+        const std::size_t place = std::min(this->findChunkIndex(key), list.size() - 1);
         auto chunk = std::make_shared<Chunk>(*list[place]);
         const auto found = lowerBound(*chunk, key);
         const auto offset = found - chunk->begin();
@@ -86,7 +86,7 @@
             return *this;
         PersistentMap next(*this);
         ChunkList list(*this->chunks);
-        const std::size_t place = this->chunkOf(key);
+        const std::size_t place = this->findChunkIndex(key);
         auto chunk = std::make_shared<Chunk>(*list[place]);
         chunk->erase(lowerBound(*chunk, key));
         if (chunk->empty())
@@ -130,8 +130,8 @@
     // Chunks are immutable once a map that contains them has been returned.
     using ChunkList = std::vector<std::shared_ptr<Chunk>>;
 
-    static constexpr std::size_t largestChunk = 128;
-    static constexpr std::size_t fillOfNewChunks = 96; // room for inserts before a split
+    static constexpr std::size_t maximumChunkSize = 128;
+    static constexpr std::size_t initialChunkSize = 96; // room for inserts before a split
 
     static typename Chunk::const_iterator lowerBound(const Chunk &chunk, const Key &key)
     {
@@ -141,7 +141,7 @@
     }
 
     // Index of the first chunk whose last key is not below `key`; the number of chunks if none.
-    std::size_t chunkOf(const Key &key) const
+    std::size_t findChunkIndex(const Key &key) const
     {
         const auto found = std::lower_bound(this->chunks->begin(), this->chunks->end(), key,
                                             [](const auto &chunk, const Key &wanted) {
@@ -153,7 +153,7 @@
     static void splitIfLarge(ChunkList &list, std::size_t place)
     {
         Chunk &chunk = *list[place];
-        if (chunk.size() <= largestChunk)
+        if (chunk.size() <= maximumChunkSize)
             return;
         const auto middle = chunk.begin() + static_cast<std::ptrdiff_t>(chunk.size() / 2);
         auto upper = std::make_shared<Chunk>(middle, chunk.end());
--- a/src/state/table/TableText.cpp
+++ b/src/state/table/TableText.cpp
@@ -83,8 +83,8 @@
         const Column *column = findColumn(name);
         const std::string allowed =
                 column == nullptr ? "a known column"
-                                  : "a whole number from " + std::to_string(column->smallest)
-                                            + " to " + std::to_string(column->largest);
+                                  : "a whole number from " + std::to_string(column->minimum)
+                                            + " to " + std::to_string(column->maximum);
         this->imported.problems.push_back({describeKey(row.key), name, text, allowed});
     }
 
--- a/tests/bench/PassBoundsTest.cpp
+++ b/tests/bench/PassBoundsTest.cpp
@@ -79,9 +79,9 @@
     {
         const PassResult ours = play([](PassPlan &) {});
         const PassResult atOnce = play([](PassPlan &plan) {
-            plan.policy.passes.startShare = 0;
+            plan.policy.passes.startEngineShare = 0;
             plan.policy.passes.startWaitingSeconds = 10;
-            plan.policy.passes.partsPerHelper = 100;
+            plan.policy.passes.maxPartsPerHelper = 100;
         });
         assertAbove("summaries in time", 0.8, ours.classes[summary].share());
         assertAbove("reviews in time", 0.5, ours.classes[review].share());
@@ -92,7 +92,7 @@
     void helpersBringTheFirstTokenForward()
     {
         const PassResult ours = play([](PassPlan &) {});
-        const PassResult without = play([](PassPlan &plan) { plan.policy.passes.mostHelpers = 0; });
+        const PassResult without = play([](PassPlan &plan) { plan.policy.passes.maxHelpers = 0; });
         assertAbove("reviews in time, over engines alone", 1.5,
                     ours.classes[review].share() / std::max(without.classes[review].share(), 0.01));
     }
@@ -114,7 +114,7 @@
     {
         const PassResult &ours = oursGrown();
         const PassResult least =
-                playGrown([](PassPlan &plan) { plan.policy.passes.evenSeconds = 0; });
+                playGrown([](PassPlan &plan) { plan.policy.passes.equalLoadSeconds = 0; });
         assertAbove("narratives in time, over the least crowded engine alone", 1.05,
                     ours.classes[narrative].share() / least.classes[narrative].share());
     }
@@ -125,7 +125,7 @@
     {
         const PassResult &ours = oursGrown();
         const PassResult anywhere =
-                playGrown([](PassPlan &plan) { plan.policy.passes.fewBriefs = 1'000; });
+                playGrown([](PassPlan &plan) { plan.policy.passes.ignoredBriefRequests = 1'000; });
         assertAbove("narratives in time, over long parts anywhere", 1.02,
                     ours.classes[narrative].share() / anywhere.classes[narrative].share());
         assertAbove("reviews in time, over long parts anywhere", 0.95,
@@ -148,8 +148,9 @@
     void crowdsLeaveTheirPart()
     {
         const PassResult ours = playDays(restartDay, 20, [](PassPlan &) {});
-        const PassResult packed = playDays(
-                restartDay, 20, [](PassPlan &plan) { plan.policy.passes.briefBusyShare = 1'000; });
+        const PassResult packed = playDays(restartDay, 20, [](PassPlan &plan) {
+            plan.policy.passes.briefTargetShare = 1'000;
+        });
         assertAbove("brief requests in time, over their part alone", 1,
                     ours.classes[narrative].share() / packed.classes[narrative].share());
     }
--- a/tests/coordination/admission/DispatcherFixture.h
+++ b/tests/coordination/admission/DispatcherFixture.h
@@ -54,16 +54,16 @@
 
     std::vector<Action> handle(const Event &event)
     {
-        this->last = this->dispatcher->handle(event, this->now);
-        return this->last;
+        this->lastActions = this->dispatcher->handle(event, this->now);
+        return this->lastActions;
     }
 
     // The actions of one type that the last event caused.
     template <typename Kind>
-    std::vector<Kind> got() const
+    std::vector<Kind> actionsOf() const
     {
         std::vector<Kind> found;
-        for (const Action &action : this->last) {
+        for (const Action &action : this->lastActions) {
             if (const auto *each = std::get_if<Kind>(&action))
                 found.push_back(*each);
         }
@@ -72,21 +72,21 @@
 
     // Asserts that the last event caused exactly one action of that type.
     template <typename Kind>
-    Kind only() const
+    Kind onlyAction() const
     {
-        const std::vector<Kind> found = this->got<Kind>();
+        const std::vector<Kind> found = this->actionsOf<Kind>();
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), found.size());
         return found.front();
     }
 
-    state::FailureDomain domainOf(const state::EndpointId &id) const
+    state::FailureDomain failureDomainOf(const state::EndpointId &id) const
     {
         return this->dispatcher->fleet().find(id)->description().failureDomain;
     }
 
     std::unique_ptr<Dispatcher> dispatcher;
     state::Instant now{std::chrono::seconds(1'000)};
-    std::vector<Action> last;
+    std::vector<Action> lastActions;
 };
 
 } // namespace lavenderthread::coordination::admission
--- a/tests/coordination/admission/DispatcherPassesTest.cpp
+++ b/tests/coordination/admission/DispatcherPassesTest.cpp
@@ -32,24 +32,24 @@
             this->handle(EngineAnnounced{description, profile()});
         }
         this->handle(RequestArrived{this->longRequest()});
-        this->firstDispatch = this->only<Dispatch>();
+        this->firstDispatch = this->onlyAction<Dispatch>();
     }
 
     CompletionRequest longRequest() const
     {
         CompletionRequest result = this->request("long", longPrompt);
-        result.firstTarget = milliseconds(1'500);
-        result.pause = milliseconds(500);
+        result.firstEventTarget = milliseconds(1'500);
+        result.toleratedPause = milliseconds(500);
         result.deadline = this->now + seconds(10);
         result.idempotent = true;
-        result.attempts = 2;
+        result.attemptLimit = 2;
         return result;
     }
 
     bool mayMove(std::uint32_t attempt)
     {
-        this->handle(MoveAsked{this->firstDispatch.id, attempt});
-        return this->only<MoveAnswered>().allowed;
+        this->handle(MoveRequested{this->firstDispatch.id, attempt});
+        return this->onlyAction<MoveAnswered>().allowed;
     }
 
     void setDraining(bool draining)
@@ -87,7 +87,7 @@
         CPPUNIT_ASSERT(fixture.mayMove(fixture.firstDispatch.attempt));
         fixture.handle(
                 AttemptFailed{fixture.firstDispatch.id, fixture.firstDispatch.attempt, false});
-        const Dispatch second = fixture.only<Dispatch>();
+        const Dispatch second = fixture.onlyAction<Dispatch>();
         CPPUNIT_ASSERT(second.engine != fixture.firstDispatch.engine);
         CPPUNIT_ASSERT(!fixture.mayMove(second.attempt));
         CPPUNIT_ASSERT(!fixture.mayMove(fixture.firstDispatch.attempt)); // that attempt has ended
@@ -108,7 +108,7 @@
                 AttemptFailed{fixture.firstDispatch.id, fixture.firstDispatch.attempt, false});
         fixture.now += seconds(1);
         fixture.handle(Tick{});
-        CPPUNIT_ASSERT(fixture.got<Refuse>().empty());
+        CPPUNIT_ASSERT(fixture.actionsOf<Refuse>().empty());
         fixture.setDraining(false);
         fixture.handle(Tick{});
         CPPUNIT_ASSERT_EQUAL(std::size_t(0), fixture.dispatcher->waiting());
@@ -129,7 +129,7 @@
         fixture.handle(
                 AttemptFailed{fixture.firstDispatch.id, fixture.firstDispatch.attempt, false});
         CPPUNIT_ASSERT_EQUAL(retried + 1, fixture.dispatcher->counts().retried);
-        CPPUNIT_ASSERT(fixture.got<Refuse>().empty());
+        CPPUNIT_ASSERT(fixture.actionsOf<Refuse>().empty());
     }
 
     // A long prompt waits while all engines of its model leave. The entry announces waiting prompts
@@ -146,7 +146,7 @@
             fixture.handle(EngineGone{PassesFixture::engine(index).id});
         fixture.now += milliseconds(200);
         fixture.handle(Tick{});
-        CPPUNIT_ASSERT(!fixture.got<ShareWork>().empty());
+        CPPUNIT_ASSERT(!fixture.actionsOf<ShareWork>().empty());
         fixture.handle(CallerCancelled{next.id});
         CPPUNIT_ASSERT_EQUAL(std::size_t(0), fixture.dispatcher->waiting());
     }
@@ -158,16 +158,16 @@
         PassesFixture fixture;
         fixture.handle(RequestFinished{fixture.firstDispatch.id, fixture.firstDispatch.attempt});
         CompletionRequest brief = fixture.request("brief", 5'000);
-        brief.firstTarget = milliseconds(300);
+        brief.firstEventTarget = milliseconds(300);
         brief.arrival = fixture.now - milliseconds(700);
         brief.deadline = fixture.now + seconds(9);
         fixture.handle(RequestArrived{brief});
-        CPPUNIT_ASSERT(fixture.only<Dispatch>().id == brief.id);
+        CPPUNIT_ASSERT(fixture.onlyAction<Dispatch>().id == brief.id);
         CompletionRequest next = fixture.longRequest();
         next.id = state::RequestId("next");
         next.arrival = fixture.now - seconds(2);
         fixture.handle(RequestArrived{next});
-        CPPUNIT_ASSERT(fixture.only<Dispatch>().id == next.id);
+        CPPUNIT_ASSERT(fixture.onlyAction<Dispatch>().id == next.id);
     }
 
     // At the start of a burst all engines prefill long parts that end in half a second. Guards
@@ -178,17 +178,17 @@
         for (std::size_t index = 0; index < PassesFixture::engines; ++index) {
             routing::WorkNote note;
             note.engine = routing::EngineKey::of(PassesFixture::engine(index).id);
-            note.work = index + 1;
+            note.requestHash = index + 1;
             note.promptTokens = note.prefillTokens = 150'000;
             note.lifetime = seconds(10);
-            note.pause = milliseconds(500);
-            fixture.handle(PeerWorkNoted{note});
+            note.toleratedPause = milliseconds(500);
+            fixture.handle(PeerWorkReceived{note});
         }
         CompletionRequest brief = fixture.request("brief", 5'000);
-        brief.firstTarget = milliseconds(300);
+        brief.firstEventTarget = milliseconds(300);
         brief.deadline = fixture.now + seconds(10);
         fixture.handle(RequestArrived{brief});
-        CPPUNIT_ASSERT(fixture.only<Dispatch>().id == brief.id);
+        CPPUNIT_ASSERT(fixture.onlyAction<Dispatch>().id == brief.id);
     }
 
     // Guards against a fixed bound between brief and long prompts, which fits one deployment only:
@@ -203,7 +203,7 @@
         CPPUNIT_ASSERT(isLong(100'000));
         CPPUNIT_ASSERT(!isLong(40'000)); // no caller has requested pauses below half a second
         CompletionRequest brief = fixture.request("brief", 5'000);
-        brief.pause = milliseconds(200);
+        brief.toleratedPause = milliseconds(200);
         brief.deadline = fixture.now + seconds(10);
         fixture.handle(RequestArrived{brief});
         CPPUNIT_ASSERT(isLong(40'000));
@@ -228,7 +228,7 @@
         CompletionRequest next = fixture.longRequest();
         next.id = state::RequestId("next");
         fixture.handle(RequestArrived{next});
-        CPPUNIT_ASSERT(fixture.only<Dispatch>().engine == PassesFixture::engine(0).id);
+        CPPUNIT_ASSERT(fixture.onlyAction<Dispatch>().engine == PassesFixture::engine(0).id);
     }
 };
 
--- a/tests/coordination/admission/DispatcherTest.cpp
+++ b/tests/coordination/admission/DispatcherTest.cpp
@@ -28,14 +28,14 @@
         // to another failure domain and resume at offset 40, so that the caller sees no repetition.
         DispatcherFixture entry(6);
         entry.handle(RequestArrived{entry.request("a", 3'000)});
-        const auto first = entry.only<Dispatch>();
+        const auto first = entry.onlyAction<Dispatch>();
         entry.handle(TokensReceived{first.id, first.attempt, 40});
-        const state::FailureDomain lost = entry.domainOf(first.engine);
+        const state::FailureDomain lost = entry.failureDomainOf(first.engine);
         entry.handle(EngineGone{first.engine});
-        const auto second = entry.only<Dispatch>();
+        const auto second = entry.onlyAction<Dispatch>();
         CPPUNIT_ASSERT_EQUAL(std::uint32_t(40), second.resumeOffset);
         CPPUNIT_ASSERT(second.attempt != first.attempt);
-        CPPUNIT_ASSERT(entry.domainOf(second.engine) != lost);
+        CPPUNIT_ASSERT(entry.failureDomainOf(second.engine) != lost);
     }
 
     void nonIdempotentNeverRunsTwice()
@@ -47,12 +47,12 @@
         CompletionRequest nonIdempotent = entry.request("a", 3'000);
         nonIdempotent.idempotent = false;
         entry.handle(RequestArrived{nonIdempotent});
-        const auto first = entry.only<Dispatch>();
+        const auto first = entry.onlyAction<Dispatch>();
         state::EndpointDescription again = entry.engine(0, 2);
         again.id = first.engine;
         entry.handle(EngineAnnounced{again});
-        CPPUNIT_ASSERT(entry.got<Dispatch>().empty());
-        CPPUNIT_ASSERT(entry.only<Refuse>().ran == Ran::Unknown);
+        CPPUNIT_ASSERT(entry.actionsOf<Dispatch>().empty());
+        CPPUNIT_ASSERT(entry.onlyAction<Refuse>().ran == Ran::Unknown);
         CPPUNIT_ASSERT_EQUAL(std::size_t(0), entry.dispatcher->inFlight());
     }
 
@@ -62,12 +62,12 @@
         CompletionRequest nonIdempotent = entry.request("a", 3'000);
         nonIdempotent.idempotent = false;
         entry.handle(RequestArrived{nonIdempotent});
-        const auto first = entry.only<Dispatch>();
+        const auto first = entry.onlyAction<Dispatch>();
         entry.handle(AttemptFailed{first.id, first.attempt, true});
-        const auto second = entry.only<Dispatch>();
+        const auto second = entry.onlyAction<Dispatch>();
         entry.handle(AttemptFailed{second.id, second.attempt, false});
-        CPPUNIT_ASSERT(entry.got<Dispatch>().empty());
-        CPPUNIT_ASSERT(entry.only<Refuse>().ran == Ran::Unknown);
+        CPPUNIT_ASSERT(entry.actionsOf<Dispatch>().empty());
+        CPPUNIT_ASSERT(entry.onlyAction<Refuse>().ran == Ran::Unknown);
     }
 
     void exhaustedAttemptsAreRefusedAtOnce()
@@ -78,13 +78,13 @@
         DispatcherFixture entry(6);
         entry.handle(RequestArrived{entry.request("a", 3'000)});
         std::size_t attempts = 0;
-        while (!entry.got<Dispatch>().empty()) {
-            const auto dispatch = entry.only<Dispatch>();
+        while (!entry.actionsOf<Dispatch>().empty()) {
+            const auto dispatch = entry.onlyAction<Dispatch>();
             CPPUNIT_ASSERT(++attempts < 10);
             entry.handle(AttemptFailed{dispatch.id, dispatch.attempt, false});
         }
         CPPUNIT_ASSERT(attempts > 1);
-        const auto refuse = entry.only<Refuse>();
+        const auto refuse = entry.onlyAction<Refuse>();
         CPPUNIT_ASSERT(refuse.reason == RefusalReason::AttemptsExhausted);
         CPPUNIT_ASSERT(refuse.retryAfter > state::Duration(0));
     }
@@ -96,14 +96,14 @@
         // they would end the caller's answer in the middle.
         DispatcherFixture entry(6);
         entry.handle(RequestArrived{entry.request("a", 3'000)});
-        const auto first = entry.only<Dispatch>();
+        const auto first = entry.onlyAction<Dispatch>();
         entry.handle(AttemptFailed{first.id, first.attempt, false});
-        const auto second = entry.only<Dispatch>();
+        const auto second = entry.onlyAction<Dispatch>();
         entry.handle(TokensReceived{first.id, first.attempt, 90});
         entry.handle(RequestFinished{first.id, first.attempt});
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), entry.dispatcher->inFlight());
         entry.handle(AttemptFailed{second.id, second.attempt, false});
-        CPPUNIT_ASSERT_EQUAL(std::uint32_t(0), entry.only<Dispatch>().resumeOffset);
+        CPPUNIT_ASSERT_EQUAL(std::uint32_t(0), entry.onlyAction<Dispatch>().resumeOffset);
     }
 
     void impossibleDeadlineIsRefused()
@@ -112,25 +112,25 @@
         CompletionRequest request = entry.request("a", 300'000); // 15 s of prefill
         request.deadline = entry.now + std::chrono::seconds(10);
         entry.handle(RequestArrived{request});
-        const auto refuse = entry.only<Refuse>();
+        const auto refuse = entry.onlyAction<Refuse>();
         CPPUNIT_ASSERT(refuse.reason == RefusalReason::Deadline && refuse.ran == Ran::No);
         CPPUNIT_ASSERT(refuse.retryAfter > state::Duration(0));
-        CPPUNIT_ASSERT(entry.got<Dispatch>().empty());
+        CPPUNIT_ASSERT(entry.actionsOf<Dispatch>().empty());
     }
 
     void deadlineEndsEachRequestOnce()
     {
         DispatcherFixture entry(2);
         entry.handle(RequestArrived{entry.request("a", 3'000)});
-        const auto dispatch = entry.only<Dispatch>();
+        const auto dispatch = entry.onlyAction<Dispatch>();
         entry.now += std::chrono::minutes(10);
         CPPUNIT_ASSERT(entry.dispatcher->nextWake() <= entry.now);
         entry.handle(Tick{});
-        CPPUNIT_ASSERT(entry.only<Expire>().ran == Ran::Unknown);
-        CPPUNIT_ASSERT(entry.only<CancelOnEngine>().engine == dispatch.engine);
+        CPPUNIT_ASSERT(entry.onlyAction<Expire>().ran == Ran::Unknown);
+        CPPUNIT_ASSERT(entry.onlyAction<CancelOnEngine>().engine == dispatch.engine);
         entry.handle(RequestFinished{dispatch.id, dispatch.attempt});
         entry.handle(Tick{});
-        CPPUNIT_ASSERT(entry.last.empty());
+        CPPUNIT_ASSERT(entry.lastActions.empty());
     }
 
     void waitingRequestIsRefusedWhenTooLate()
@@ -147,7 +147,7 @@
         entry.now += std::chrono::seconds(16);
         entry.handle(Tick{});
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), admitted);
-        CPPUNIT_ASSERT(entry.only<Refuse>().ran == Ran::No);
+        CPPUNIT_ASSERT(entry.onlyAction<Refuse>().ran == Ran::No);
     }
 
     void longPrefillIsSentInSlices()
@@ -158,7 +158,7 @@
         entry.handle(RequestArrived{entry.request("a", 35'000)});
         std::uint32_t expected = 0;
         for (;;) {
-            const auto slice = entry.only<Dispatch>();
+            const auto slice = entry.onlyAction<Dispatch>();
             CPPUNIT_ASSERT_EQUAL(expected, slice.from);
             expected = slice.to;
             if (slice.final)
@@ -175,10 +175,10 @@
         // must have a higher priority than the one before, so that the prompt does not starve.
         DispatcherFixture entry(2);
         entry.handle(RequestArrived{entry.request("a", 300'000)});
-        const auto first = entry.only<Dispatch>();
+        const auto first = entry.onlyAction<Dispatch>();
         entry.now += std::chrono::seconds(200);
         entry.handle(SlicePrefilled{first.id, first.attempt, first.to});
-        CPPUNIT_ASSERT(entry.only<Dispatch>().priority < first.priority);
+        CPPUNIT_ASSERT(entry.onlyAction<Dispatch>().priority < first.priority);
     }
 
     void limitHookRefusesAndIsReleasedOnce()
@@ -199,8 +199,8 @@
         entry.handle(EngineAnnounced{entry.engine(0)});
         entry.handle(RequestArrived{entry.request("a", 1'000)});
         entry.handle(RequestArrived{entry.request("b", 1'000)});
-        CPPUNIT_ASSERT(entry.only<Refuse>().reason == RefusalReason::Limit);
-        CPPUNIT_ASSERT(entry.only<Refuse>().retryAfter == std::chrono::seconds(7));
+        CPPUNIT_ASSERT(entry.onlyAction<Refuse>().reason == RefusalReason::Limit);
+        CPPUNIT_ASSERT(entry.onlyAction<Refuse>().retryAfter == std::chrono::seconds(7));
         entry.handle(CallerCancelled{state::RequestId("a")});
         entry.handle(CallerCancelled{state::RequestId("a")});
         CPPUNIT_ASSERT_EQUAL(1, held); // the hook counted "b" but did not grant it
--- a/tests/coordination/admission/LongQueueTest.cpp
+++ b/tests/coordination/admission/LongPromptQueueTest.cpp
@@ -1,15 +1,15 @@
 // LongPromptQueue: all entries compute the same order without coordination, shorter prompts go
 // first but longer ones catch up, and a crashed entry does not block the others for long.
-#include "coordination/admission/LongQueue.h"
+#include "coordination/admission/LongPromptQueue.h"
 
 #include <cppunit/TestFixture.h>
 #include <cppunit/extensions/HelperMacros.h>
 
 namespace lavenderthread::coordination::admission {
 
-class LongQueueTest : public CppUnit::TestFixture
+class LongPromptQueueTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(LongQueueTest);
+    CPPUNIT_TEST_SUITE(LongPromptQueueTest);
     CPPUNIT_TEST(entriesAgreeOnHead);
     CPPUNIT_TEST(shorterGoFirstAndLongerCatchUp);
     CPPUNIT_TEST(promptsOfSilentPeersExpire);
@@ -30,21 +30,21 @@
     {
         const WaitingPrompt one = prompt(1, 3, this->start);
         const WaitingPrompt two = prompt(2, 1, this->start + std::chrono::milliseconds(100));
-        LongQueue first;
+        LongPromptQueue first;
         first.add(state::RequestId("one"), one);
-        first.notePeer(two, this->start);
-        LongQueue second;
+        first.addPeerPrompt(two, this->start);
+        LongPromptQueue second;
         second.add(state::RequestId("two"), two);
-        second.notePeer(one, this->start);
+        second.addPeerPrompt(one, this->start);
         CPPUNIT_ASSERT(!first.head(this->start));
         CPPUNIT_ASSERT_EQUAL(std::string("two"), second.head(this->start)->value());
-        first.remove(two.work); // its entry has announced its start
+        first.remove(two.requestHash); // its entry has announced its start
         CPPUNIT_ASSERT_EQUAL(std::string("one"), first.head(this->start)->value());
     }
 
     void shorterGoFirstAndLongerCatchUp()
     {
-        LongQueue queue;
+        LongPromptQueue queue;
         queue.add(state::RequestId("huge"), prompt(1, 8, this->start));
         queue.add(state::RequestId("small"), prompt(2, 0.3, this->start + std::chrono::seconds(1)));
         CPPUNIT_ASSERT_EQUAL(std::string("small"), queue.head(this->start)->value());
@@ -57,26 +57,26 @@
     // longer than the lifetime of an announcement, 250 ms.
     void promptsOfSilentPeersExpire()
     {
-        LongQueue queue;
+        LongPromptQueue queue;
         queue.add(state::RequestId("own"), prompt(1, 3, this->start));
-        queue.notePeer(prompt(2, 1, this->start), this->start);
+        queue.addPeerPrompt(prompt(2, 1, this->start), this->start);
         CPPUNIT_ASSERT(!queue.head(this->start + std::chrono::milliseconds(240)));
         CPPUNIT_ASSERT(queue.head(this->start + std::chrono::milliseconds(251)).has_value());
     }
 
     void engineTimeBeforePromptIsSummed()
     {
-        LongQueue queue;
+        LongPromptQueue queue;
         queue.add(state::RequestId("a"), prompt(1, 1, this->start));
-        queue.notePeer(prompt(2, 2, this->start), this->start);
-        queue.notePeer(prompt(3, 9, this->start), this->start);
+        queue.addPeerPrompt(prompt(2, 2, this->start), this->start);
+        queue.addPeerPrompt(prompt(3, 9, this->start), this->start);
         const WaitingPrompt next = prompt(4, 3, this->start);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(3.0, queue.secondsBefore(next, this->start), 1e-9);
         CPPUNIT_ASSERT(queue.hasOwn());
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), queue.own().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), queue.ownPrompts().size());
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(LongQueueTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(LongPromptQueueTest);
 
 } // namespace lavenderthread::coordination::admission
--- a/tests/coordination/admission/SpanTest.cpp
+++ b/tests/coordination/admission/SpanTest.cpp
@@ -25,8 +25,8 @@
     static std::vector<Reserve> grantAll(DispatcherFixture &entry)
     {
         std::vector<Reserve> all;
-        while (!entry.got<Reserve>().empty()) {
-            const auto reserve = entry.only<Reserve>();
+        while (!entry.actionsOf<Reserve>().empty()) {
+            const auto reserve = entry.onlyAction<Reserve>();
             all.push_back(reserve);
             entry.handle(ReservationAnswered{reserve.id, reserve.engine, reserve.lease, true});
         }
@@ -44,7 +44,7 @@
     static std::set<std::string> released(const DispatcherFixture &entry)
     {
         std::set<std::string> leases;
-        for (const Release &release : entry.got<Release>())
+        for (const Release &release : entry.actionsOf<Release>())
             leases.insert(release.lease);
         return leases;
     }
@@ -62,7 +62,7 @@
             CPPUNIT_ASSERT(each == 0 || all[each - 1].engine < all[each].engine);
         }
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(million) + 200, sum);
-        CPPUNIT_ASSERT_EQUAL(std::uint32_t(0), entry.only<Dispatch>().from);
+        CPPUNIT_ASSERT_EQUAL(std::uint32_t(0), entry.onlyAction<Dispatch>().from);
     }
 
     void refusedPartReleasesAll()
@@ -72,15 +72,15 @@
         // for good. It must release all of them and retry later.
         DispatcherFixture entry(16);
         entry.handle(RequestArrived{entry.request("a", million)});
-        const auto first = entry.only<Reserve>();
+        const auto first = entry.onlyAction<Reserve>();
         entry.handle(ReservationAnswered{first.id, first.engine, first.lease, true});
-        const auto second = entry.only<Reserve>();
+        const auto second = entry.onlyAction<Reserve>();
         entry.handle(ReservationAnswered{second.id, second.engine, second.lease, false});
         CPPUNIT_ASSERT(released(entry).contains(first.lease));
-        CPPUNIT_ASSERT(entry.got<Reserve>().empty());
+        CPPUNIT_ASSERT(entry.actionsOf<Reserve>().empty());
         entry.now += std::chrono::seconds(1);
         entry.handle(Tick{});
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), entry.got<Reserve>().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), entry.actionsOf<Reserve>().size());
     }
 
     void everyOutcomeReleasesAll()
@@ -92,7 +92,7 @@
             DispatcherFixture entry(16);
             entry.handle(RequestArrived{entry.request("a", million)});
             const std::vector<Reserve> all = grantAll(entry);
-            const auto dispatch = entry.only<Dispatch>();
+            const auto dispatch = entry.onlyAction<Dispatch>();
             if (outcome == 0)
                 entry.handle(CallerCancelled{dispatch.id});
             if (outcome == 1)
@@ -104,7 +104,7 @@
             if (outcome == 3)
                 entry.handle(AttemptFailed{dispatch.id, dispatch.attempt, false});
             CPPUNIT_ASSERT(released(entry) == leasesOf(all));
-            CPPUNIT_ASSERT(entry.got<ShareWork>().size() >= all.size());
+            CPPUNIT_ASSERT(entry.actionsOf<ShareWork>().size() >= all.size());
         }
     }
 
@@ -120,7 +120,7 @@
         std::uint32_t secondPartFrom = 0;
         std::uint32_t secondPartTo = 0;
         while (order.size() < 3) {
-            const auto slice = entry.only<Dispatch>();
+            const auto slice = entry.onlyAction<Dispatch>();
             if (order.empty() || order.back() != slice.engine)
                 order.push_back(slice.engine);
             if (order.size() == 2) {
@@ -130,10 +130,10 @@
             entry.handle(SlicePrefilled{slice.id, slice.attempt, slice.to});
         }
         entry.handle(EngineGone{order[1]});
-        const auto reserve = entry.only<Reserve>();
+        const auto reserve = entry.onlyAction<Reserve>();
         CPPUNIT_ASSERT(!leasesOf(all).contains(reserve.lease));
         entry.handle(ReservationAnswered{reserve.id, reserve.engine, reserve.lease, true});
-        const auto again = entry.only<Dispatch>();
+        const auto again = entry.onlyAction<Dispatch>();
         CPPUNIT_ASSERT(again.engine == reserve.engine);
         CPPUNIT_ASSERT_EQUAL(secondPartFrom, again.from);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(secondPartTo - secondPartFrom),
@@ -144,7 +144,7 @@
     {
         DispatcherFixture entry(16);
         entry.handle(RequestArrived{entry.request("a", million)});
-        const auto reserve = entry.only<Reserve>();
+        const auto reserve = entry.onlyAction<Reserve>();
         entry.handle(CallerCancelled{reserve.id});
         CPPUNIT_ASSERT(released(entry).contains(reserve.lease));
         entry.handle(ReservationAnswered{reserve.id, reserve.engine, reserve.lease, true});
@@ -160,7 +160,7 @@
         CPPUNIT_ASSERT(wake && *wake < entry.now + all.front().ttl);
         entry.now = *wake;
         entry.handle(Tick{});
-        CPPUNIT_ASSERT(leasesOf(entry.got<Reserve>()) == leasesOf(all));
+        CPPUNIT_ASSERT(leasesOf(entry.actionsOf<Reserve>()) == leasesOf(all));
     }
 };
 
--- a/tests/coordination/consensus/ClusterRig.cpp
+++ b/tests/coordination/consensus/ClusterRig.cpp
@@ -15,14 +15,14 @@
 Settings smallSettings()
 {
     Settings small;
-    small.heartbeat = std::chrono::milliseconds(30);
+    small.heartbeatInterval = std::chrono::milliseconds(30);
     small.electionTimeout = std::chrono::milliseconds(120);
-    small.diskStall = std::chrono::milliseconds(200);
+    small.diskStallTimeout = std::chrono::milliseconds(200);
     small.clockDriftPerMille = 50;
     small.maximumBatchEntries = 4;
     small.maximumInFlightEntries = 12;
     small.maximumUncommitted = 40;
-    small.snapshotPieceBytes = 100;
+    small.snapshotChunkBytes = 100;
     small.compactionEntries = 24;
     small.trailingEntries = 6;
     return small;
@@ -36,7 +36,7 @@
     , settings(smallSettings())
 {
     this->lossPerMille = static_cast<unsigned>(this->number(0, 1) * this->number(0, 120));
-    this->latePerMille = static_cast<unsigned>(this->number(0, 60));
+    this->delayOrDuplicatePerMille = static_cast<unsigned>(this->number(0, 60));
     const std::size_t size = this->chance(200) ? 5 : 3;
     std::vector<Member> members;
     for (std::size_t index = 0; index < size; ++index) {
@@ -53,14 +53,14 @@
 
 std::optional<std::string> ClusterRig::run()
 {
-    this->every(12 * millisecond, [this] { this->propose(); });
-    this->every(25 * millisecond, [this] { this->ask(); });
-    this->every(40 * millisecond, [this] { this->operate(); });
-    this->every(60 * millisecond, [this] { this->fault(); });
-    this->at(faultsEnd, [this] { this->heal(); });
+    this->scheduleEvery(12 * millisecond, [this] { this->propose(); });
+    this->scheduleEvery(25 * millisecond, [this] { this->requestReads(); });
+    this->scheduleEvery(40 * millisecond, [this] { this->runOperators(); });
+    this->scheduleEvery(60 * millisecond, [this] { this->injectFault(); });
+    this->scheduleAt(faultsEnd, [this] { this->heal(); });
     for (std::int64_t time = probesStart; time < runEnds - 200 * millisecond;
          time += 50 * millisecond) {
-        this->at(time, [this] {
+        this->scheduleAt(time, [this] {
             for (std::size_t index = 0; index < this->nodes.size(); ++index) {
                 this->lastProbe = this->nextId;
                 this->proposeTo(index);
@@ -80,16 +80,16 @@
     return this->violation;
 }
 
-void ClusterRig::at(GlobalTime time, std::function<void()> work)
+void ClusterRig::scheduleAt(GlobalTime time, std::function<void()> work)
 {
     this->queue.push({time, ++this->order, std::move(work)});
 }
 
-void ClusterRig::every(GlobalTime period, const std::function<void()> &work)
+void ClusterRig::scheduleEvery(GlobalTime period, const std::function<void()> &work)
 {
-    this->at(this->now + period, [this, period, work] {
+    this->scheduleAt(this->now + period, [this, period, work] {
         work();
-        this->every(period, work);
+        this->scheduleEvery(period, work);
     });
 }
 
@@ -161,15 +161,15 @@
     node.machine.reset();
 }
 
-void ClusterRig::give(std::size_t index, const Event &event)
+void ClusterRig::handleEvent(std::size_t index, const Event &event)
 {
     Node &node = this->nodes[index];
     if (!node.machine || this->violation)
         return;
     if (this->now < node.pausedUntil) {
-        this->at(node.pausedUntil, [this, index, event, incarnation = node.incarnation] {
+        this->scheduleAt(node.pausedUntil, [this, index, event, incarnation = node.incarnation] {
             if (this->nodes[index].incarnation == incarnation)
-                this->give(index, event);
+                this->handleEvent(index, event);
         });
         return;
     }
@@ -178,7 +178,7 @@
     if (this->mutation == Mutation::VoteWithinLease && received != nullptr
         && std::holds_alternative<VoteRequest>(received->message.body))
         local += this->settings.electionTimeout;
-    this->perform(index, node.machine->step(event, local));
+    this->performActions(index, node.machine->step(event, local));
     this->armTimer(index);
 }
 
@@ -194,16 +194,16 @@
     if (node.timerAt >= 0 && node.timerAt <= time)
         return;
     node.timerAt = time;
-    this->at(time, [this, index, time, incarnation = node.incarnation] {
+    this->scheduleAt(time, [this, index, time, incarnation = node.incarnation] {
         Node &armed = this->nodes[index];
         if (armed.incarnation != incarnation || armed.timerAt != time)
             return;
         armed.timerAt = -1;
-        this->give(index, Tick{}); // arms the next timer, also if a pause delays this tick
+        this->handleEvent(index, Tick{}); // arms the next timer, also if a pause delays this tick
     });
 }
 
-void ClusterRig::perform(std::size_t index, Actions actions)
+void ClusterRig::performActions(std::size_t index, Actions actions)
 {
     Node &node = this->nodes[index];
     const std::uint64_t sequence = actions.persistSequence;
@@ -226,10 +226,10 @@
         this->crash(index);
         return;
     }
-    if (actions.snapshotWanted)
-        this->takeSnapshot(index, *actions.snapshotWanted);
+    if (actions.snapshotRequest)
+        this->takeSnapshot(index, *actions.snapshotRequest);
     if (sequence != 0 && this->mutation == Mutation::AnswerBeforeSync)
-        this->give(index, Persisted{sequence});
+        this->handleEvent(index, Persisted{sequence});
 }
 
 void ClusterRig::startSync(std::size_t index)
@@ -238,13 +238,13 @@
     if (node.syncUnderWay || node.unsynced.empty())
         return;
     node.syncUnderWay = true;
-    const bool slow = !this->calm && this->chance(30);
+    const bool slow = !this->faultsEnded && this->chance(30);
     const auto syncTime = static_cast<GlobalTime>(slow ? this->number(20, 300) * millisecond
                                                        : this->number(200, 4000));
-    this->at(this->now + syncTime,
-             [this, index, incarnation = node.incarnation, writes = node.unsynced.size()] {
-                 this->endSync(index, incarnation, writes);
-             });
+    this->scheduleAt(this->now + syncTime,
+                     [this, index, incarnation = node.incarnation, writes = node.unsynced.size()] {
+                         this->endSync(index, incarnation, writes);
+                     });
 }
 
 void ClusterRig::endSync(std::size_t index, std::uint64_t incarnation, std::size_t writes)
@@ -252,8 +252,9 @@
     Node &node = this->nodes[index];
     if (node.incarnation != incarnation || !node.machine)
         return;
-    if (!this->calm && this->chance(2)) {
-        this->give(index, PersistFailed{state::makeError(state::ErrorCode::StorageFailed, "sync",
+    if (!this->faultsEnded && this->chance(2)) {
+        this->handleEvent(index,
+                          PersistFailed{state::makeError(state::ErrorCode::StorageFailed, "sync",
                                                          "disk full", node.id.value())});
         return;
     }
@@ -270,12 +271,12 @@
     }
     this->startSync(index);
     if (taken)
-        this->give(index, SnapshotTaken{taken});
+        this->handleEvent(index, SnapshotTaken{taken});
     if (done != 0)
-        this->give(index, Persisted{done});
+        this->handleEvent(index, Persisted{done});
 }
 
-void ClusterRig::store(Stored &disk, const Write &write)
+void ClusterRig::store(StoredState &disk, const Write &write)
 {
     const auto dropFrom = [&disk](std::uint64_t index) {
         std::erase_if(disk.entries, [index](const state::log::LogEntry &entry) {
@@ -298,7 +299,7 @@
     }
 }
 
-void ClusterRig::takeSnapshot(std::size_t index, const SnapshotWanted &wanted)
+void ClusterRig::takeSnapshot(std::size_t index, const SnapshotRequest &wanted)
 {
     Node &node = this->nodes[index];
     state::log::LogSnapshot snapshot{wanted.last, wanted.configuration, {}};
@@ -311,14 +312,17 @@
 
 void ClusterRig::transmit(const Message &message)
 {
-    const bool lost = !this->calm && this->chance(this->lossPerMille);
-    const unsigned copies = lost ? 0 : !this->calm && this->chance(this->latePerMille) ? 2 : 1;
+    const bool lost = !this->faultsEnded && this->chance(this->lossPerMille);
+    const unsigned copies = lost ? 0
+                            : !this->faultsEnded && this->chance(this->delayOrDuplicatePerMille)
+                                    ? 2
+                                    : 1;
     for (unsigned copy = 0; copy < copies; ++copy) {
         std::uint64_t delay = this->number(500, 5000);
-        if (!this->calm && this->chance(this->latePerMille))
+        if (!this->faultsEnded && this->chance(this->delayOrDuplicatePerMille))
             delay = this->number(1, this->chance(100) ? 900 : 150) * millisecond;
-        this->at(this->now + static_cast<GlobalTime>(delay),
-                 [this, message] { this->deliver(message); });
+        this->scheduleAt(this->now + static_cast<GlobalTime>(delay),
+                         [this, message] { this->deliver(message); });
     }
 }
 
@@ -328,13 +332,13 @@
         || this->cutLinks.contains({message.to, message.from}))
         return;
     for (const Node &sender : this->nodes) {
-        if (sender.id == message.from && sender.reachesNobody)
+        if (sender.id == message.from && sender.sendBlocked)
             return;
     }
     for (std::size_t index = 0; index < this->nodes.size(); ++index) {
         const Node &node = this->nodes[index];
-        if (node.id == message.to && !node.hearsNobody)
-            this->give(index, Received{message});
+        if (node.id == message.to && !node.receiveBlocked)
+            this->handleEvent(index, Received{message});
     }
 }
 
--- a/tests/coordination/consensus/ClusterRig.h
+++ b/tests/coordination/consensus/ClusterRig.h
@@ -64,7 +64,7 @@
     struct Node
     {
         state::VmId id;
-        Stored disk;
+        StoredState disk;
         std::deque<Write> unsynced;
         std::optional<Consensus> machine; // empty while the process is down
         std::uint64_t incarnation = 0;
@@ -73,8 +73,8 @@
         GlobalTime pausedUntil = 0;
         GlobalTime timerAt = -1;
         bool syncUnderWay = false;
-        bool hearsNobody = false;
-        bool reachesNobody = false;
+        bool receiveBlocked = false;
+        bool sendBlocked = false;
         bool diskLost = false;                     // permanently
         std::map<std::string, std::string> claims; // the applied state: key to winning claim
         std::uint64_t applied = 0;
@@ -91,36 +91,36 @@
     };
 
     // Simulation: time, network, disks, processes
-    void at(GlobalTime time, std::function<void()> work);
-    void every(GlobalTime period, const std::function<void()> &work);
+    void scheduleAt(GlobalTime time, std::function<void()> work);
+    void scheduleEvery(GlobalTime period, const std::function<void()> &work);
     state::Instant localTime(const Node &node, GlobalTime time) const;
     GlobalTime trueTime(const Node &node, state::Instant local) const;
     void slowClock(Node &node) const;
-    void give(std::size_t index, const Event &event);
-    void perform(std::size_t index, Actions actions);
+    void handleEvent(std::size_t index, const Event &event);
+    void performActions(std::size_t index, Actions actions);
     void armTimer(std::size_t index);
     void transmit(const Message &message);
     void deliver(const Message &message);
     void startSync(std::size_t index);
     void endSync(std::size_t index, std::uint64_t incarnation, std::size_t writes);
-    static void store(Stored &disk, const Write &write);
+    static void store(StoredState &disk, const Write &write);
     void apply(Node &node, const Actions &actions);
-    void takeSnapshot(std::size_t index, const SnapshotWanted &wanted);
+    void takeSnapshot(std::size_t index, const SnapshotRequest &wanted);
 
     // Faults, clients, operators
     void start(std::size_t index);
     void crash(std::size_t index);
     void loseDisk(std::size_t index);
     std::size_t addNode(const std::string &name);
-    void fault();
+    void injectFault();
     void isolate(std::size_t index, std::uint64_t duration);
-    void fadeLeader();
+    void isolateLeaderGradually();
     void cutLink(std::size_t index, std::size_t other);
     void heal();
     void propose();
     void proposeTo(std::size_t index);
-    void ask();
-    void operate();
+    void requestReads();
+    void runOperators();
     bool repaired() const;
 
     // Checks
@@ -144,20 +144,20 @@
     std::priority_queue<Step> queue;
     std::uint64_t order = 0;
     GlobalTime now = 0;
-    bool calm = false;
+    bool faultsEnded = false;
     GlobalTime quietUntil = 0;
     bool secondLossDue = false;
     unsigned lossPerMille = 0;
-    unsigned latePerMille = 0;
+    unsigned delayOrDuplicatePerMille = 0;
 
     std::optional<std::string> violation;
     // Committed entries, as first applied by any node.
     std::map<std::uint64_t, state::log::LogEntry> history;
     MemberSet committedMembers;
-    std::map<ProposalId, std::string> proposed; // payload by proposal id
-    std::map<std::string, std::string> granted; // key to acknowledged winner
-    std::uint64_t acknowledgedIndex = 0;        // highest acknowledged
-    std::map<ReadId, std::uint64_t> readFloor;  // acknowledgedIndex when the read was issued
+    std::map<ProposalId, std::string> proposed;             // payload by proposal id
+    std::map<std::string, std::string> acknowledgedWinners; // key to acknowledged winner
+    std::uint64_t acknowledgedIndex = 0;                    // highest acknowledged
+    std::map<ReadId, std::uint64_t> minimumReadIndex; // acknowledgedIndex when the read was issued
     std::uint64_t nextId = 1;
     std::optional<ProposalId> lastProbe; // latest proposal made after the faults ended
     std::uint64_t probesCommitted = 0;
--- a/tests/coordination/consensus/ClusterRigFaults.cpp
+++ b/tests/coordination/consensus/ClusterRigFaults.cpp
@@ -15,7 +15,7 @@
 
 void ClusterRig::propose()
 {
-    if (this->calm || this->now < this->quietUntil)
+    if (this->faultsEnded || this->now < this->quietUntil)
         return;
     const std::size_t first = this->number(0, this->nodes.size() - 1);
     for (std::size_t index = 0; index < this->nodes.size(); ++index) {
@@ -37,21 +37,22 @@
         this->proposed[id] = payload;
         propose.proposals.push_back({id, payload});
     }
-    this->give(index, propose);
+    this->handleEvent(index, propose);
 }
 
-void ClusterRig::ask()
+void ClusterRig::requestReads()
 {
     for (std::size_t index = 0; index < this->nodes.size(); ++index) {
         const ReadId id = this->nextId++;
-        this->readFloor[id] = this->acknowledgedIndex;
-        this->give(index, Read{id, this->chance(500) ? ReadKind::Lease : ReadKind::Round});
+        this->minimumReadIndex[id] = this->acknowledgedIndex;
+        this->handleEvent(index,
+                          Read{id, this->chance(500) ? ReadKind::Lease : ReadKind::QuorumRound});
     }
 }
 
 // The operators' loop: every member that leads proposes the next single change towards the target
 // set.
-void ClusterRig::operate()
+void ClusterRig::runOperators()
 {
     for (std::size_t index = 0; index < this->nodes.size(); ++index) {
         Node &node = this->nodes[index];
@@ -61,7 +62,7 @@
                 nextMemberChange(node.machine->members(), this->target,
                                  node.machine->caughtUpLearners(this->localTime(node, this->now)));
         if (change)
-            this->give(index, ProposeChange{this->nextId++, *change});
+            this->handleEvent(index, ProposeChange{this->nextId++, *change});
     }
 }
 
@@ -70,9 +71,9 @@
     return this->committedMembers == this->target;
 }
 
-void ClusterRig::fault()
+void ClusterRig::injectFault()
 {
-    if (this->calm)
+    if (this->faultsEnded)
         return;
     const std::size_t index = this->number(0, this->nodes.size() - 1);
     Node &node = this->nodes[index];
@@ -82,8 +83,8 @@
         this->loseDisk(index);
     } else if (kind < 12) {
         this->crash(index);
-        this->at(this->now + static_cast<GlobalTime>(this->number(5, 300)) * millisecond,
-                 [this, index] { this->start(index); });
+        this->scheduleAt(this->now + static_cast<GlobalTime>(this->number(5, 300)) * millisecond,
+                         [this, index] { this->start(index); });
     } else if (kind < 18) {
         for (std::size_t each = 0; each < this->nodes.size(); ++each) {
             this->crash(each);
@@ -98,13 +99,13 @@
     } else if (kind < 64) {
         this->cutLink(index, this->number(0, this->nodes.size() - 1));
     } else if (kind < 80) {
-        this->fadeLeader();
+        this->isolateLeaderGradually();
     }
 }
 
 // Isolates the leader gradually: one member loses contact first and campaigns while the others
 // still have recent contact. Clients are paused, so that no member's log is ahead of another's.
-void ClusterRig::fadeLeader()
+void ClusterRig::isolateLeaderGradually()
 {
     for (std::size_t index = 0; index < this->nodes.size(); ++index) {
         const Node &node = this->nodes[index];
@@ -112,22 +113,23 @@
             continue;
         this->quietUntil = this->now + 400 * millisecond;
         this->cutLink(index, this->number(0, this->nodes.size() - 1));
-        this->at(this->now + static_cast<GlobalTime>(this->number(60, 220)) * millisecond,
-                 [this, index] { this->isolate(index, this->number(50, 400) * millisecond); });
+        this->scheduleAt(
+                this->now + static_cast<GlobalTime>(this->number(60, 220)) * millisecond,
+                [this, index] { this->isolate(index, this->number(50, 400) * millisecond); });
     }
 }
 
 // Blocks both directions, or only one.
 void ClusterRig::isolate(std::size_t index, std::uint64_t duration)
 {
-    if (this->calm)
+    if (this->faultsEnded)
         return;
     const bool both = this->chance(600);
-    this->nodes[index].hearsNobody = both || this->chance(500);
-    this->nodes[index].reachesNobody = both || !this->nodes[index].hearsNobody;
-    this->at(this->now + static_cast<GlobalTime>(duration), [this, index] {
-        this->nodes[index].hearsNobody = false;
-        this->nodes[index].reachesNobody = false;
+    this->nodes[index].receiveBlocked = both || this->chance(500);
+    this->nodes[index].sendBlocked = both || !this->nodes[index].receiveBlocked;
+    this->scheduleAt(this->now + static_cast<GlobalTime>(duration), [this, index] {
+        this->nodes[index].receiveBlocked = false;
+        this->nodes[index].sendBlocked = false;
     });
 }
 
@@ -135,8 +137,8 @@
 {
     const std::pair<state::VmId, state::VmId> link{this->nodes[index].id, this->nodes[other].id};
     this->cutLinks.insert(link);
-    this->at(this->now + static_cast<GlobalTime>(this->number(50, 600)) * millisecond,
-             [this, link] { this->cutLinks.erase(link); });
+    this->scheduleAt(this->now + static_cast<GlobalTime>(this->number(50, 600)) * millisecond,
+                     [this, link] { this->cutLinks.erase(link); });
 }
 
 // Loses a disk only while the committed member set equals the target: one lost disk is then always
@@ -158,7 +160,7 @@
         this->crash(index);
     }
     if (this->mutation == Mutation::SameIdAfterLoss) {
-        node.disk = Stored{};
+        node.disk = StoredState{};
         node.disk.snapshot.configuration = this->target.encode();
         this->start(index);
         return;
@@ -177,11 +179,11 @@
 
 void ClusterRig::heal()
 {
-    this->calm = true;
+    this->faultsEnded = true;
     this->cutLinks.clear();
     for (std::size_t index = 0; index < this->nodes.size(); ++index) {
         Node &node = this->nodes[index];
-        node.hearsNobody = node.reachesNobody = false;
+        node.receiveBlocked = node.sendBlocked = false;
         node.pausedUntil = 0;
         this->start(index);
     }
@@ -232,16 +234,17 @@
         if (known == this->history.end() || known->second.payload != payload->second)
             this->fail("acknowledged entry differs from the committed entry");
         const std::string key = payload->second.substr(0, payload->second.find(' '));
-        const auto [acknowledged, first] = this->granted.emplace(key, node.claims.at(key));
+        const auto [acknowledged, first] =
+                this->acknowledgedWinners.emplace(key, node.claims.at(key));
         if (acknowledged->second != node.claims.at(key))
             this->fail(key + " acknowledged with two winners: " + acknowledged->second + ", "
                        + node.claims.at(key));
-        if (this->lastProbe && this->calm)
+        if (this->lastProbe && this->faultsEnded)
             ++this->probesCommitted;
     }
     for (const ReadAnswer &answer : actions.reads) {
         this->count.reads += answer.confirmed ? 1 : 0;
-        if (answer.confirmed && node.applied < this->readFloor[answer.id])
+        if (answer.confirmed && node.applied < this->minimumReadIndex[answer.id])
             this->fail("read at " + node.id.value() + " misses an acknowledged change");
     }
 }
@@ -272,7 +275,7 @@
             continue;
         if (node.applied < this->acknowledgedIndex)
             this->fail(node.id.value() + " misses acknowledged changes after the faults ended");
-        for (const auto &[key, winner] : this->granted) {
+        for (const auto &[key, winner] : this->acknowledgedWinners) {
             const auto found = node.claims.find(key);
             if (found == node.claims.end() || found->second != winner)
                 this->fail(key + " differs from the acknowledged winner at " + node.id.value());
--- a/tests/coordination/consensus/ConsensusTest.cpp
+++ b/tests/coordination/consensus/ConsensusTest.cpp
@@ -26,9 +26,9 @@
     return MemberSet::create(members).value();
 }
 
-Stored firstStart()
+StoredState firstStart()
 {
-    Stored stored;
+    StoredState stored;
     stored.snapshot.configuration = setOf({voter("a"), voter("b"), voter("c")}).encode();
     return stored;
 }
@@ -36,7 +36,7 @@
 // Member "a" of three. The test acts as the other two members and as the disk.
 struct SingleMember
 {
-    explicit SingleMember(const Settings &settings = {}, const Stored &stored = firstStart())
+    explicit SingleMember(const Settings &settings = {}, const StoredState &stored = firstStart())
         : machine(Consensus::create(settings, state::VmId("a"), stored, 1, {}).value())
     {}
 
@@ -86,7 +86,7 @@
     // The number of 50-byte entries that are committed until a snapshot is requested.
     static int entriesUntilSnapshot(const Settings &settings, std::size_t snapshotBytes)
     {
-        Stored stored = firstStart();
+        StoredState stored = firstStart();
         stored.snapshot.bytes.assign(snapshotBytes, 's');
         SingleMember member(settings, stored);
         member.becomeLeader();
@@ -94,7 +94,7 @@
             const std::uint64_t id = static_cast<std::uint64_t>(entries);
             const Actions synced =
                     member.completeSync(member.step(Propose{{{id, std::string(50, 'c')}}}));
-            if (synced.snapshotWanted || member.answerAppend(id + 1).snapshotWanted)
+            if (synced.snapshotRequest || member.answerAppend(id + 1).snapshotRequest)
                 return entries;
         }
         return 100;
@@ -107,8 +107,8 @@
     {
         Settings settings;
         settings.trailingEntries = 4;
-        settings.compactionLeastBytes = 400;
-        settings.compactionBytes = 2'000;
+        settings.minimumCompactionBytes = 400;
+        settings.maximumCompactionBytes = 2'000;
         CPPUNIT_ASSERT_EQUAL(9, entriesUntilSnapshot(settings, 10));
         CPPUNIT_ASSERT_EQUAL(21, entriesUntilSnapshot(settings, 1'000));
         CPPUNIT_ASSERT_EQUAL(41, entriesUntilSnapshot(settings, 100'000));
@@ -215,19 +215,19 @@
 
     void rejectsCorruptStoredState()
     {
-        Stored gap = firstStart();
+        StoredState gap = firstStart();
         gap.hardState.currentTerm = 1;
         gap.entries = {{{1, 2}, state::log::LogEntryKind::Noop, {}}};
-        Stored newer = firstStart();
+        StoredState newer = firstStart();
         newer.entries = {{{1, 1}, state::log::LogEntryKind::Noop, {}}};
-        Stored members = firstStart();
+        StoredState members = firstStart();
         members.snapshot.configuration = "voter a somewhere\n";
-        for (const Stored &stored : {gap, newer, members}) {
+        for (const StoredState &stored : {gap, newer, members}) {
             const auto refused = Consensus::create({}, state::VmId("a"), stored, 1, {});
             CPPUNIT_ASSERT(refused.has_error() && refused.error().code == ErrorCode::Corrupt);
         }
         Settings settings;
-        settings.electionTimeout = settings.heartbeat;
+        settings.electionTimeout = settings.heartbeatInterval;
         CPPUNIT_ASSERT(
                 Consensus::create(settings, state::VmId("a"), firstStart(), 1, {}).error().code
                 == ErrorCode::InvalidArgument);
--- a/tests/coordination/consensus/MemberPlanTest.cpp
+++ b/tests/coordination/consensus/MemberPlanTest.cpp
@@ -19,15 +19,15 @@
 
     const state::Instant start{std::chrono::seconds(100)};
 
-    static Candidate candidate(const std::string &id, int host)
+    static MemberCandidate candidate(const std::string &id, int host)
     {
         return {state::VmId(id), {"10.0.0." + std::to_string(host), 7340}};
     }
 
-    static MemberSet setOf(const std::vector<Candidate> &members)
+    static MemberSet setOf(const std::vector<MemberCandidate> &members)
     {
         std::vector<Member> voters;
-        for (const Candidate &member : members)
+        for (const MemberCandidate &member : members)
             voters.push_back({member.id, member.address, MemberRole::Voter});
         return MemberSet::create(voters).value();
     }
@@ -45,10 +45,10 @@
         return lowest;
     }
 
-    const Candidate a = candidate("a", 1);
-    const Candidate b = candidate("b", 2);
-    const Candidate c = candidate("c", 3);
-    const Candidate d = candidate("d", 4);
+    const MemberCandidate a = candidate("a", 1);
+    const MemberCandidate b = candidate("b", 2);
+    const MemberCandidate c = candidate("c", 3);
+    const MemberCandidate d = candidate("d", 4);
 
 public:
     void shortAbsenceIsTolerated()
@@ -66,7 +66,7 @@
     {
         MemberPlan plan({});
         MemberSet set = setOf({this->a, this->b, this->c});
-        const std::vector<Candidate> live = {this->a, this->b, this->d};
+        const std::vector<MemberCandidate> live = {this->a, this->b, this->d};
         plan.target(set, live, this->start);
         const MemberSet target = plan.target(set, live, this->start + std::chrono::seconds(5));
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), applyChanges(set, target));
@@ -80,7 +80,7 @@
     {
         MemberPlan plan({});
         MemberSet set = setOf({this->a, this->b, this->c});
-        const std::vector<Candidate> live = {this->a, this->b, candidate("c-2", 3)};
+        const std::vector<MemberCandidate> live = {this->a, this->b, candidate("c-2", 3)};
         const MemberSet target = plan.target(set, live, this->start);
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), applyChanges(set, target));
         CPPUNIT_ASSERT(set.isVoter(state::VmId("c-2")));
@@ -101,7 +101,7 @@
     {
         MemberPlan plan({});
         const MemberSet set = setOf({this->a, this->b, this->c});
-        const std::vector<Candidate> live = {this->a, this->b, this->c, this->d};
+        const std::vector<MemberCandidate> live = {this->a, this->b, this->c, this->d};
         CPPUNIT_ASSERT(set == plan.target(set, live, this->start));
         MemberPlan five({.wantedVoters = 5});
         CPPUNIT_ASSERT_EQUAL(std::size_t(4), five.target(set, live, this->start).voterCount());
--- a/tests/coordination/directory/LeavingPlanTest.cpp
+++ b/tests/coordination/directory/ShutdownScheduleTest.cpp
@@ -1,5 +1,5 @@
 // When a node that was told to stop starts to refuse calls and when it exits.
-#include "coordination/directory/LeavingPlan.h"
+#include "coordination/directory/ShutdownSchedule.h"
 
 #include <cppunit/TestFixture.h>
 #include <cppunit/extensions/HelperMacros.h>
@@ -19,19 +19,19 @@
     // the process exited.
     void callsThatCannotFinishAreRefused()
     {
-        const LeavingPlan schedule = LeavingPlan::within(std::chrono::seconds(8));
-        CPPUNIT_ASSERT(schedule.takesCalls <= std::chrono::seconds(3));
-        CPPUNIT_ASSERT(schedule.ends - schedule.takesCalls >= std::chrono::seconds(4));
+        const ShutdownSchedule schedule = ShutdownSchedule::within(std::chrono::seconds(8));
+        CPPUNIT_ASSERT(schedule.acceptCallsFor <= std::chrono::seconds(3));
+        CPPUNIT_ASSERT(schedule.exitAfter - schedule.acceptCallsFor >= std::chrono::seconds(4));
     }
 
     void exitsBeforeTheNodeIsKilled()
     {
         for (const int seconds : {1, 3, 8, 30}) {
             const state::Duration termination = std::chrono::seconds(seconds);
-            const LeavingPlan schedule = LeavingPlan::within(termination);
-            CPPUNIT_ASSERT(schedule.takesCalls > state::Duration(0));
-            CPPUNIT_ASSERT(schedule.takesCalls <= schedule.ends);
-            CPPUNIT_ASSERT(schedule.ends < termination);
+            const ShutdownSchedule schedule = ShutdownSchedule::within(termination);
+            CPPUNIT_ASSERT(schedule.acceptCallsFor > state::Duration(0));
+            CPPUNIT_ASSERT(schedule.acceptCallsFor <= schedule.exitAfter);
+            CPPUNIT_ASSERT(schedule.exitAfter < termination);
         }
     }
 };
--- a/tests/coordination/endpoints/EndpointLifeTest.cpp
+++ b/tests/coordination/endpoints/EndpointLifecycleTest.cpp
@@ -1,6 +1,6 @@
 // Fault scenarios of the endpoint lifecycle on three entry nodes that receive each other's records
 // at once.
-#include "coordination/endpoints/EndpointLife.h"
+#include "coordination/endpoints/EndpointLifecycle.h"
 
 #include <cppunit/TestFixture.h>
 #include <cppunit/extensions/HelperMacros.h>
@@ -21,7 +21,7 @@
         for (const char *id : {"a", "b", "c"}) {
             this->setMember(id, 1, membership::MemberHealth::Alive);
             this->lifecycles.push_back(
-                    EndpointLife::create({}, state::VmId(id), this->now).value());
+                    EndpointLifecycle::create({}, state::VmId(id), this->now).value());
         }
         this->tables.resize(3);
     }
@@ -32,10 +32,10 @@
                                         membership::MemberPhase::Serving, health};
         record.description = std::make_shared<const membership::MemberDescription>();
         this->members.apply(record, this->now);
-        this->ring = ownership::OwnerRing::of(this->members);
+        this->ring = ownership::OwnerRing::fromMembers(this->members);
     }
 
-    EndpointWorld view(std::size_t entry) const
+    EndpointContext view(std::size_t entry) const
     {
         return {this->tables[entry], this->members, this->ring};
     }
@@ -84,7 +84,7 @@
     state::Instant now = state::Instant(seconds(100));
     membership::MemberTable members;
     ownership::OwnerRing ring;
-    std::vector<EndpointLife> lifecycles;
+    std::vector<EndpointLifecycle> lifecycles;
     std::vector<EndpointTable> tables;
     std::size_t deadEntry = 99;
     int published = 0;
@@ -283,7 +283,8 @@
         // renewals. The endpoint, which died meanwhile, must not stay listed forever.
         TestCluster cluster;
         cluster.announce(0, 1);
-        cluster.lifecycles[0] = EndpointLife::create({}, state::VmId("a"), cluster.now).value();
+        cluster.lifecycles[0] =
+                EndpointLifecycle::create({}, state::VmId("a"), cluster.now).value();
         cluster.step(10);
         CPPUNIT_ASSERT(cluster.record().isUsable());
         cluster.step(7);
@@ -357,8 +358,9 @@
             huge.models.emplace_back("model-" + std::to_string(model));
         const auto refused = cluster.lifecycles[0].announce(huge, cluster.view(0), cluster.now);
         CPPUNIT_ASSERT(refused.error().code == state::ErrorCode::InvalidArgument);
-        CPPUNIT_ASSERT(EndpointLife::create({seconds(5), seconds(6)}, state::VmId("a"), cluster.now)
-                               .has_error());
+        CPPUNIT_ASSERT(
+                EndpointLifecycle::create({seconds(5), seconds(6)}, state::VmId("a"), cluster.now)
+                        .has_error());
     }
 };
 
--- a/tests/coordination/endpoints/MemoryAuditTest.cpp
+++ b/tests/coordination/endpoints/MemoryAuditTest.cpp
@@ -23,7 +23,7 @@
     {
         for (const char *id : {"a", "b"})
             this->setMember(id, 1, membership::MemberHealth::Alive);
-        this->audit.gained(engine);
+        this->audit.ownershipGained(engine);
     }
 
     void setMember(const char *id, std::uint64_t incarnation, membership::MemberHealth health)
@@ -56,10 +56,10 @@
             if (beforeAudit)
                 beforeAudit();
             const AuditActions actions =
-                    this->audit.held(engine, {{lease, HeldKind::Reservation, 100}}, this->members,
-                                     this->isolated, this->now);
-            this->queryCount += static_cast<int>(actions.questions.size());
-            for (const AuditQuestion &query : actions.questions)
+                    this->audit.auditHeldMemory(engine, {{lease, HeldKind::Reservation, 100}},
+                                                this->members, this->isolated, this->now);
+            this->queryCount += static_cast<int>(actions.queries.size());
+            for (const AuditQuery &query : actions.queries)
                 this->lastQuery = query;
             if (!actions.frees.empty())
                 return second;
@@ -73,7 +73,7 @@
     state::Instant now = state::Instant(seconds(100));
     bool isolated = false;
     int queryCount = 0;
-    AuditQuestion lastQuery;
+    AuditQuery lastQuery;
 };
 
 constexpr int graceSeconds = 12;
@@ -135,13 +135,13 @@
                  {},
                  [&](AuditHarness &harness) {
                      if (harness.queryCount > 0)
-                         harness.audit.denied(engine, lease, {state::VmId("a"), 1});
+                         harness.audit.holderDenied(engine, lease, {state::VmId("a"), 1});
                  },
                  true},
                 {"another entry node denies it",
                  {},
                  [&](AuditHarness &harness) {
-                     harness.audit.denied(engine, lease, {state::VmId("b"), 1});
+                     harness.audit.holderDenied(engine, lease, {state::VmId("b"), 1});
                  },
                  false},
                 {"released by its holder",
@@ -193,10 +193,10 @@
         // it never granted; the holder's next renewal reaches it in time.
         AuditHarness harness;
         const std::string lease = AuditHarness::name("a", 1);
-        harness.audit.lost(engine);
+        harness.audit.ownershipLost(engine);
         CPPUNIT_ASSERT(!harness.grant(lease, "a"));
         CPPUNIT_ASSERT_EQUAL(-1, harness.poll(lease, 30));
-        harness.audit.gained(engine);
+        harness.audit.ownershipGained(engine);
         CPPUNIT_ASSERT_EQUAL(-1, harness.poll(lease, 8));
         CPPUNIT_ASSERT(harness.queryCount > 0 && harness.lastQuery.holder == state::VmId("a"));
         CPPUNIT_ASSERT(harness.grant(lease, "a"));
@@ -244,25 +244,25 @@
                     harness.setMember(ids[memberIndex], ++incarnation[memberIndex],
                                       membership::MemberHealth::Alive);
                 if (!isQuiet && random() % 30 == 0) {
-                    harness.audit.lost(engine);
-                    harness.audit.gained(engine);
+                    harness.audit.ownershipLost(engine);
+                    harness.audit.ownershipGained(engine);
                 }
                 if (!isQuiet && random() % 3 == 0)
                     held.insert(AuditHarness::name(ids[memberIndex], incarnation[memberIndex],
                                                    ++serial));
                 std::vector<HeldItem> items;
                 for (const std::string &lease : held) {
-                    const LeaseHolder creator = *makerOf(lease);
+                    const LeaseHolder creator = *leaseCreator(lease);
                     const std::size_t owner = creator.vm == state::VmId("a") ? 0 : 1;
                     if (creator.incarnation == incarnation[owner] && random() % 3 == 0
                         && harness.grant(lease, ids[owner], creator.incarnation))
                         renewed[lease] = harness.now;
                     items.push_back({lease, HeldKind::Export, 1});
                 }
-                const auto actions =
-                        harness.audit.held(engine, items, harness.members, false, harness.now);
+                const auto actions = harness.audit.auditHeldMemory(engine, items, harness.members,
+                                                                   false, harness.now);
                 for (const AuditFree &free : actions.frees) {
-                    const LeaseHolder creator = *makerOf(free.item.lease);
+                    const LeaseHolder creator = *leaseCreator(free.item.lease);
                     const std::size_t owner = creator.vm == state::VmId("a") ? 0 : 1;
                     const bool live = creator.incarnation == incarnation[owner];
                     CPPUNIT_ASSERT(!live
@@ -273,7 +273,7 @@
                 harness.now += seconds(1);
             }
             for (const std::string &lease : held) {
-                const LeaseHolder creator = *makerOf(lease);
+                const LeaseHolder creator = *leaseCreator(lease);
                 CPPUNIT_ASSERT(creator.incarnation
                                == incarnation[creator.vm == state::VmId("a") ? 0 : 1]);
             }
@@ -283,9 +283,9 @@
     void leaseNamesContainTheirCreator()
     {
         const LeaseHolder creator{state::VmId("ga.north-1"), 77};
-        CPPUNIT_ASSERT(makerOf(makeLeaseName(creator, 9)) == creator);
+        CPPUNIT_ASSERT(leaseCreator(makeLeaseName(creator, 9)) == creator);
         for (const char *text : {"", ".", "..", "a.1", "a.x.1", "a..1", ".1.1"})
-            CPPUNIT_ASSERT_MESSAGE(text, !makerOf(text));
+            CPPUNIT_ASSERT_MESSAGE(text, !leaseCreator(text));
     }
 };
 
--- a/tests/coordination/membership/ConfirmedSpreadTest.cpp
+++ b/tests/coordination/membership/DeregistrationTrackerTest.cpp
@@ -1,5 +1,5 @@
 // Tests which members are sent a deregistration again and when it is finished.
-#include "coordination/membership/ConfirmedSpread.h"
+#include "coordination/membership/DeregistrationTracker.h"
 
 #include <cppunit/TestFixture.h>
 #include <cppunit/extensions/HelperMacros.h>
@@ -44,10 +44,11 @@
     return record;
 }
 
-std::set<state::VmId> recipients(const std::vector<ConfirmedSpread::Missing> &due)
+std::set<state::VmId>
+recipients(const std::vector<DeregistrationTracker::MissingConfirmations> &due)
 {
     std::set<state::VmId> members;
-    for (const ConfirmedSpread::Missing &missing : due)
+    for (const DeregistrationTracker::MissingConfirmations &missing : due)
         members.insert(missing.member->record.id);
     return members;
 }
@@ -69,33 +70,38 @@
     void onlyUnconfirmedMembersGetResends()
     {
         const MemberTable members = membersUpTo(4);
-        ConfirmedSpread tracker;
-        tracker.begin(left("e"), at(0));
-        CPPUNIT_ASSERT(tracker.due(members, self, at(100)).empty());
-        tracker.confirmed(memberKey(idOf(1)), deregistrationKey(state::EndpointId("e"), 1));
+        DeregistrationTracker tracker;
+        tracker.track(left("e"), at(0));
+        CPPUNIT_ASSERT(tracker.takeDueResends(members, self, at(100)).empty());
+        tracker.recordConfirmation(memberKey(idOf(1)),
+                                   deregistrationKey(state::EndpointId("e"), 1));
+        CPPUNIT_ASSERT((recipients(tracker.takeDueResends(members, self, at(200)))
+                        == std::set{idOf(2), idOf(3)}));
+        CPPUNIT_ASSERT(tracker.takeDueResends(members, self, at(300)).empty());
+        tracker.recordConfirmation(memberKey(idOf(2)),
+                                   deregistrationKey(state::EndpointId("e"), 1));
         CPPUNIT_ASSERT(
-                (recipients(tracker.due(members, self, at(200))) == std::set{idOf(2), idOf(3)}));
-        CPPUNIT_ASSERT(tracker.due(members, self, at(300)).empty());
-        tracker.confirmed(memberKey(idOf(2)), deregistrationKey(state::EndpointId("e"), 1));
-        CPPUNIT_ASSERT((recipients(tracker.due(members, self, at(400))) == std::set{idOf(3)}));
-        tracker.confirmed(memberKey(idOf(3)), deregistrationKey(state::EndpointId("e"), 1));
-        tracker.settle(members, self, at(410));
-        CPPUNIT_ASSERT(!tracker.isOnItsWay(state::EndpointId("e")));
+                (recipients(tracker.takeDueResends(members, self, at(400))) == std::set{idOf(3)}));
+        tracker.recordConfirmation(memberKey(idOf(3)),
+                                   deregistrationKey(state::EndpointId("e"), 1));
+        tracker.removeFinished(members, self, at(410));
+        CPPUNIT_ASSERT(!tracker.isPending(state::EndpointId("e")));
     }
 
     void deadMembersAreNotWaitedFor()
     {
         MemberTable members = membersUpTo(3);
-        ConfirmedSpread tracker;
-        tracker.begin(left("e"), at(0));
-        tracker.confirmed(memberKey(idOf(1)), deregistrationKey(state::EndpointId("e"), 1));
-        tracker.settle(members, self, at(300));
-        CPPUNIT_ASSERT(tracker.isOnItsWay(state::EndpointId("e")));
+        DeregistrationTracker tracker;
+        tracker.track(left("e"), at(0));
+        tracker.recordConfirmation(memberKey(idOf(1)),
+                                   deregistrationKey(state::EndpointId("e"), 1));
+        tracker.removeFinished(members, self, at(300));
+        CPPUNIT_ASSERT(tracker.isPending(state::EndpointId("e")));
         MemberRecord dead = memberOf(2);
         dead.health = MemberHealth::Dead;
         members.apply(dead, at(400));
-        tracker.settle(members, self, at(400));
-        CPPUNIT_ASSERT(!tracker.isOnItsWay(state::EndpointId("e")));
+        tracker.removeFinished(members, self, at(400));
+        CPPUNIT_ASSERT(!tracker.isPending(state::EndpointId("e")));
     }
 
     // Guards against a process that starts during a deregistration, gets its state from a member
@@ -103,23 +109,24 @@
     void joiningMemberGetsPendingDeregistration()
     {
         MemberTable members = membersUpTo(3);
-        ConfirmedSpread tracker;
-        tracker.begin(left("e"), at(0));
-        tracker.confirmed(memberKey(idOf(1)), deregistrationKey(state::EndpointId("e"), 1));
+        DeregistrationTracker tracker;
+        tracker.track(left("e"), at(0));
+        tracker.recordConfirmation(memberKey(idOf(1)),
+                                   deregistrationKey(state::EndpointId("e"), 1));
         members.apply(memberOf(7), at(100));
-        CPPUNIT_ASSERT(
-                (recipients(tracker.due(members, self, at(200))) == std::set{idOf(2), idOf(7)}));
+        CPPUNIT_ASSERT((recipients(tracker.takeDueResends(members, self, at(200)))
+                        == std::set{idOf(2), idOf(7)}));
     }
 
     void silentMembersAreGivenUpAfterLimit()
     {
         const MemberTable members = membersUpTo(2);
-        ConfirmedSpread tracker;
-        tracker.begin(left("e"), at(0));
-        tracker.settle(members, self, at(9'999));
-        CPPUNIT_ASSERT(tracker.isOnItsWay(state::EndpointId("e")));
-        tracker.settle(members, self, at(10'000));
-        CPPUNIT_ASSERT(!tracker.isOnItsWay(state::EndpointId("e")));
+        DeregistrationTracker tracker;
+        tracker.track(left("e"), at(0));
+        tracker.removeFinished(members, self, at(9'999));
+        CPPUNIT_ASSERT(tracker.isPending(state::EndpointId("e")));
+        tracker.removeFinished(members, self, at(10'000));
+        CPPUNIT_ASSERT(!tracker.isPending(state::EndpointId("e")));
     }
 
     // Guards against a failure domain that failed and is not yet recorded as dead: if its members
@@ -127,13 +134,13 @@
     void silentMembersDoNotBlockResendsToOthers()
     {
         const MemberTable members = membersUpTo(200);
-        ConfirmedSpread tracker;
-        tracker.begin(left("e"), at(0));
+        DeregistrationTracker tracker;
+        tracker.track(left("e"), at(0));
         std::set<state::VmId> all;
         for (int tick = 1; tick <= 8; ++tick) {
             const std::set<state::VmId> resentTo =
-                    recipients(tracker.due(members, self, at(tick * 200)));
-            CPPUNIT_ASSERT(resentTo.size() <= ConfirmedSpreadSettings().membersPerResend);
+                    recipients(tracker.takeDueResends(members, self, at(tick * 200)));
+            CPPUNIT_ASSERT(resentTo.size() <= DeregistrationTrackerSettings().membersPerResend);
             all.insert(resentTo.begin(), resentTo.end());
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t(199), all.size());
@@ -142,12 +149,13 @@
     void confirmationOfEarlierIncarnationDoesNotCount()
     {
         const MemberTable members = membersUpTo(2);
-        ConfirmedSpread tracker;
-        tracker.begin(left("e", 1), at(0));
-        tracker.begin(left("e", 2), at(100));
-        tracker.confirmed(memberKey(idOf(1)), deregistrationKey(state::EndpointId("e"), 1));
-        tracker.settle(members, self, at(200));
-        CPPUNIT_ASSERT(tracker.isOnItsWay(state::EndpointId("e")));
+        DeregistrationTracker tracker;
+        tracker.track(left("e", 1), at(0));
+        tracker.track(left("e", 2), at(100));
+        tracker.recordConfirmation(memberKey(idOf(1)),
+                                   deregistrationKey(state::EndpointId("e"), 1));
+        tracker.removeFinished(members, self, at(200));
+        CPPUNIT_ASSERT(tracker.isPending(state::EndpointId("e")));
     }
 };
 
--- a/tests/coordination/membership/GossipFleet.cpp
+++ b/tests/coordination/membership/GossipFleet.cpp
@@ -80,7 +80,7 @@
             this->deliveries.pop();
             this->deliver(delivery);
         }
-        this->tickDue();
+        this->runDueTicks();
     }
 }
 
@@ -115,11 +115,11 @@
 {
     for (const GossipSend &send : actions.sends) {
         const Index to = send.to.port - firstPort;
-        if (to >= this->machines.size() || (this->passes && !this->passes(node, to)))
+        if (to >= this->machines.size() || (this->linkFilter && !this->linkFilter(node, to)))
             continue;
-        const int copies = this->chance() < this->settings.duplication ? 2 : 1;
+        const int copies = this->randomFraction() < this->settings.duplication ? 2 : 1;
         for (int copy = 0; copy < copies; ++copy) {
-            if (this->chance() < this->settings.loss)
+            if (this->randomFraction() < this->settings.loss)
                 continue;
             const auto spread = static_cast<std::uint64_t>(
                     (this->settings.longestDelay - this->settings.shortestDelay).count() + 1);
@@ -132,7 +132,7 @@
     }
 }
 
-std::size_t GossipFleet::seeing(Index subject, MemberHealth health)
+std::size_t GossipFleet::countViews(Index subject, MemberHealth health)
 {
     std::size_t count = 0;
     for (Index node = 0; node < this->machines.size(); ++node) {
@@ -144,7 +144,7 @@
     return count;
 }
 
-void GossipFleet::tickDue()
+void GossipFleet::runDueTicks()
 {
     for (Index node = 0; node < this->machines.size(); ++node) {
         if (this->down[node] || this->current < this->nextTick[node])
--- a/tests/coordination/membership/GossipFleet.h
+++ b/tests/coordination/membership/GossipFleet.h
@@ -62,20 +62,20 @@
     void restart(Index node, std::uint64_t incarnation);
     void serve(Index node); // phase Serving and ready
     // A datagram for which it returns false is lost. May be empty.
-    std::function<bool(Index from, Index to)> passes;
+    std::function<bool(Index from, Index to)> linkFilter;
     std::function<void(const Delivery &)> observer; // of every datagram that arrives; may be empty
 
     // Puts the datagrams of `actions`, which `node` sends, on the network.
     void perform(Index node, const GossipActions &actions);
     bool isUp(Index node) const { return !this->down[node]; }
     // Returns the number of running nodes other than `subject` that record it with this health.
-    std::size_t seeing(Index subject, MemberHealth health);
+    std::size_t countViews(Index subject, MemberHealth health);
 
 private:
-    void tickDue();
+    void runDueTicks();
     void deliver(const Delivery &delivery);
     // Returns a random number from 0 to below 1.
-    double chance() { return static_cast<double>(this->random() % 1'000'000) / 1e6; }
+    double randomFraction() { return static_cast<double>(this->random() % 1'000'000) / 1e6; }
 
     FleetSettings settings;
     std::mt19937_64 random;
--- a/tests/coordination/membership/MembershipFaultTest.cpp
+++ b/tests/coordination/membership/MembershipFaultTest.cpp
@@ -23,7 +23,7 @@
 {
     std::size_t count = 0;
     for (std::size_t node = 0; node < fleet.size(); ++node)
-        count += fleet.seeing(node, MemberHealth::Dead);
+        count += fleet.countViews(node, MemberHealth::Dead);
     return count;
 }
 
@@ -78,14 +78,14 @@
             for (std::uint64_t seed = 11; seed < 15; ++seed) {
                 GossipFleet fleet({.nodes = 18, .loss = fault.loss, .seed = seed});
                 fleet.run(seconds(3));
-                fleet.passes = fault.passes;
+                fleet.linkFilter = fault.passes;
                 for (int second = 0; second < 40; ++second) {
                     fleet.run(seconds(1));
                     CPPUNIT_ASSERT_MESSAGE(fault.name, fault.dies || deadViewCount(fleet) == 0);
                 }
                 for (std::size_t node = 0; node < fleet.size(); ++node) {
                     const bool expectDead = fault.dies && node == faultyNode;
-                    const std::size_t dead = fleet.seeing(node, MemberHealth::Dead);
+                    const std::size_t dead = fleet.countViews(node, MemberHealth::Dead);
                     // One view of a live member may be dead: that of the faulty member.
                     CPPUNIT_ASSERT_MESSAGE(
                             std::string(fault.name) + ", member " + std::to_string(node),
@@ -102,11 +102,11 @@
         // both groups have formed produces them.
         for (std::uint64_t seed = 31; seed < 41; ++seed) {
             GossipFleet fleet({.nodes = 6, .seed = seed, .preload = false});
-            fleet.passes = [](std::size_t from, std::size_t to) { return from % 2 == to % 2; };
+            fleet.linkFilter = [](std::size_t from, std::size_t to) { return from % 2 == to % 2; };
             fleet.run(seconds(4));
             for (std::size_t node = 0; node < fleet.size(); ++node)
                 CPPUNIT_ASSERT_EQUAL(std::size_t(3), fleet.at(node).members().liveCount());
-            fleet.passes = {};
+            fleet.linkFilter = {};
             const auto whole = [&] {
                 for (std::size_t node = 0; node < fleet.size(); ++node)
                     if (fleet.at(node).members().liveCount() != fleet.size())
@@ -123,13 +123,13 @@
         // heals, all members must record it as alive again without a restart.
         GossipFleet fleet({.nodes = 18, .loss = 0.05, .seed = 12});
         fleet.run(seconds(2));
-        fleet.passes = [](std::size_t from, std::size_t to) {
+        fleet.linkFilter = [](std::size_t from, std::size_t to) {
             return !isSameNode(from, faultyNode) && !isSameNode(to, faultyNode);
         };
         fleet.run(seconds(60));
-        CPPUNIT_ASSERT_EQUAL(std::size_t(17), fleet.seeing(faultyNode, MemberHealth::Dead));
-        fleet.passes = {};
-        const auto back = [&] { return fleet.seeing(faultyNode, MemberHealth::Alive) == 17; };
+        CPPUNIT_ASSERT_EQUAL(std::size_t(17), fleet.countViews(faultyNode, MemberHealth::Dead));
+        fleet.linkFilter = {};
+        const auto back = [&] { return fleet.countViews(faultyNode, MemberHealth::Alive) == 17; };
         CPPUNIT_ASSERT(fleet.runUntil(back, seconds(30)) >= state::Duration::zero());
         CPPUNIT_ASSERT(fleet.at(faultyNode).selfRecord().version > 1);
     }
@@ -140,17 +140,17 @@
         // to refute that afterwards, and ownership would move needlessly meanwhile.
         GossipFleet fleet({.nodes = 18, .seed = 13});
         fleet.run(seconds(2));
-        fleet.passes = [](std::size_t from, std::size_t to) {
+        fleet.linkFilter = [](std::size_t from, std::size_t to) {
             return !isSameNode(from, faultyNode) && !isSameNode(to, faultyNode);
         };
         fleet.run(seconds(120));
         CPPUNIT_ASSERT(fleet.at(faultyNode).isIsolated(fleet.now()));
         CPPUNIT_ASSERT_EQUAL(std::size_t(18), fleet.at(faultyNode).members().liveCount());
-        fleet.passes = {};
+        fleet.linkFilter = {};
         fleet.run(seconds(30));
         CPPUNIT_ASSERT(!fleet.at(faultyNode).isIsolated(fleet.now()));
         for (std::size_t node = 0; node < fleet.size(); ++node)
-            CPPUNIT_ASSERT_EQUAL(std::size_t(17), fleet.seeing(node, MemberHealth::Alive));
+            CPPUNIT_ASSERT_EQUAL(std::size_t(17), fleet.countViews(node, MemberHealth::Alive));
     }
 
     void partitionedHalvesMerge()
@@ -160,14 +160,14 @@
         // halves.
         GossipFleet fleet({.nodes = 12, .seed = 14});
         fleet.run(seconds(2));
-        fleet.passes = [](std::size_t from, std::size_t to) { return (from < 6) == (to < 6); };
+        fleet.linkFilter = [](std::size_t from, std::size_t to) { return (from < 6) == (to < 6); };
         fleet.run(seconds(180));
         CPPUNIT_ASSERT_EQUAL(std::size_t(6), fleet.at(0).members().liveCount());
         CPPUNIT_ASSERT_EQUAL(std::size_t(6), fleet.at(11).members().liveCount());
-        fleet.passes = {};
+        fleet.linkFilter = {};
         const auto whole = [&] {
             for (std::size_t node = 0; node < fleet.size(); ++node) {
-                if (fleet.seeing(node, MemberHealth::Alive) != 11)
+                if (fleet.countViews(node, MemberHealth::Alive) != 11)
                     return false;
             }
             return true;
@@ -183,7 +183,7 @@
         GossipFleet fleet({.nodes = 18, .loss = 0.05, .duplication = 0.1, .seed = 15});
         fleet.run(seconds(2));
         bool cut = false;
-        fleet.passes = [&](std::size_t from, std::size_t to) {
+        fleet.linkFilter = [&](std::size_t from, std::size_t to) {
             return !cut || (!isSameNode(from, faultyNode) && !isSameNode(to, faultyNode));
         };
         for (int turn = 0; turn < 12; ++turn) {
@@ -192,7 +192,7 @@
         }
         cut = false;
         fleet.run(seconds(30));
-        CPPUNIT_ASSERT_EQUAL(std::size_t(17), fleet.seeing(faultyNode, MemberHealth::Alive));
+        CPPUNIT_ASSERT_EQUAL(std::size_t(17), fleet.countViews(faultyNode, MemberHealth::Alive));
     }
 
     void oldIncarnationIsRefusedAndStops()
@@ -243,7 +243,7 @@
         fleet.run(seconds(10));
         CPPUNIT_ASSERT(fleet.at(faultyNode).selfRecord().incarnation > 1'000);
         CPPUNIT_ASSERT(!fleet.at(faultyNode).isSuperseded());
-        CPPUNIT_ASSERT_EQUAL(std::size_t(5), fleet.seeing(faultyNode, MemberHealth::Alive));
+        CPPUNIT_ASSERT_EQUAL(std::size_t(5), fleet.countViews(faultyNode, MemberHealth::Alive));
     }
 
     void wrongClusterAndWrongTargetChangeNothing()
--- a/tests/coordination/membership/MembershipSpreadTest.cpp
+++ b/tests/coordination/membership/MembershipSpreadTest.cpp
@@ -234,7 +234,7 @@
             GossipFleet fleet = serviceBeforeRelease(endpointCount, seed, seconds(6));
             for (std::size_t index = 0; index < endpointCount; ++index) {
                 const state::Instant reachableFrom = fleet.now() + unreachableFor;
-                fleet.passes = [&fleet, reachableFrom](std::size_t, std::size_t to) {
+                fleet.linkFilter = [&fleet, reachableFrom](std::size_t, std::size_t to) {
                     return to != unreachableNode || fleet.now() >= reachableFrom;
                 };
                 const endpoints::EndpointRecord left = replaceEndpoint(fleet, index, endpointCount);
@@ -278,13 +278,13 @@
     {
         GossipFleet fleet = serviceBeforeRelease(3, 4, seconds(6));
         constexpr std::size_t cutOff = 50;
-        fleet.passes = [](std::size_t, std::size_t to) { return to != cutOff; };
+        fleet.linkFilter = [](std::size_t, std::size_t to) { return to != cutOff; };
         const endpoints::EndpointRecord left = replaceEndpoint(fleet, 1, 3);
         fleet.run(std::chrono::milliseconds(50));
         fleet.kill(1);
-        const auto homeIsGone = [&] { return fleet.seeing(1, MemberHealth::Dead) > 120; };
+        const auto homeIsGone = [&] { return fleet.countViews(1, MemberHealth::Dead) > 120; };
         CPPUNIT_ASSERT(fleet.runUntil(homeIsGone, seconds(60)) >= state::Duration::zero());
-        fleet.at(0).deregisteredAgain(left.id, fleet.now());
+        fleet.at(0).handleRepeatedDeregistration(left.id, fleet.now());
         CPPUNIT_ASSERT(!fleet.at(0).isDeregisteredEverywhere(left.id));
     }
 
--- a/tests/coordination/orders/FeedTest.cpp
+++ b/tests/coordination/orders/FeedTest.cpp
@@ -172,10 +172,10 @@
         FeedSettings settings;
         settings.inForceWithin = std::chrono::milliseconds(2'500);
         FeedReceiver feed(settings, 3, 0);
-        CPPUNIT_ASSERT(feed.lease().at(at(0)) == ViewStanding::Unconfirmed);
+        CPPUNIT_ASSERT(feed.lease().statusAt(at(0)) == ViewStatus::Unconfirmed);
         feed.onAnswer(answer(*feed.poll(at(0)), 5, {page(0, 5)}), at(900));
-        CPPUNIT_ASSERT(feed.lease().at(at(2'499)) == ViewStanding::Confirmed);
-        CPPUNIT_ASSERT(feed.lease().at(at(2'500)) == ViewStanding::Unconfirmed);
+        CPPUNIT_ASSERT(feed.lease().statusAt(at(2'499)) == ViewStatus::Confirmed);
+        CPPUNIT_ASSERT(feed.lease().statusAt(at(2'500)) == ViewStatus::Unconfirmed);
     }
 
     // Guards against refusals by an entry that applies each change soon but, while changes keep
@@ -188,11 +188,11 @@
         feed.onAnswer(answer(*feed.poll(at(0)), 5, {page(0, 5)}), at(10));
         for (std::uint64_t version = 6; version < 60; ++version) {
             const int heardAt = static_cast<int>(version) * 100;
-            feed.heardOf(version + 1, at(heardAt));
+            feed.onVersionReported(version + 1, at(heardAt));
             feed.onPages({page(version - 1, version)});
-            CPPUNIT_ASSERT(feed.lease().at(at(heardAt + 99)) != ViewStanding::Outdated);
+            CPPUNIT_ASSERT(feed.lease().statusAt(at(heardAt + 99)) != ViewStatus::Outdated);
         }
-        CPPUNIT_ASSERT(feed.lease().at(at(59 * 100 + 1'250)) == ViewStanding::Outdated);
+        CPPUNIT_ASSERT(feed.lease().statusAt(at(59 * 100 + 1'250)) == ViewStatus::Outdated);
     }
 
     void trackerListsMissingEntries()
@@ -212,8 +212,8 @@
         // so the change is in force everywhere only after that.
         EnforcementTracker tracker(std::chrono::seconds(8));
         tracker.onFeedRequest(state::VmId("vm-1"), 6, at(0));
-        CPPUNIT_ASSERT(!tracker.enforcementOf(7, at(7'999)).everywhere());
-        CPPUNIT_ASSERT(tracker.enforcementOf(7, at(8'000)).everywhere());
+        CPPUNIT_ASSERT(!tracker.enforcementOf(7, at(7'999)).inForceEverywhere());
+        CPPUNIT_ASSERT(tracker.enforcementOf(7, at(8'000)).inForceEverywhere());
     }
 
     void restartedEntryIsMissingAgain()
@@ -221,7 +221,7 @@
         EnforcementTracker tracker(std::chrono::seconds(8));
         tracker.onFeedRequest(state::VmId("vm-1"), 7, at(0));
         tracker.onFeedRequest(state::VmId("vm-1"), 0, at(1'000));
-        CPPUNIT_ASSERT(!tracker.enforcementOf(7, at(1'001)).everywhere());
+        CPPUNIT_ASSERT(!tracker.enforcementOf(7, at(1'001)).inForceEverywhere());
     }
 };
 
--- a/tests/coordination/ownership/OwnerRingTest.cpp
+++ b/tests/coordination/ownership/OwnerRingTest.cpp
@@ -67,11 +67,11 @@
         // Each change of an owner costs a memory audit from scratch; a suspicion alone must not
         // cause one.
         membership::MemberTable members = tableOf(18);
-        const OwnerRing before = OwnerRing::of(members);
+        const OwnerRing before = OwnerRing::fromMembers(members);
         setHealth(members, 4, membership::MemberHealth::Suspect);
-        CPPUNIT_ASSERT(OwnerRing::of(members) == before);
+        CPPUNIT_ASSERT(OwnerRing::fromMembers(members) == before);
         setHealth(members, 4, membership::MemberHealth::Dead);
-        const OwnerRing after = OwnerRing::of(members);
+        const OwnerRing after = OwnerRing::fromMembers(members);
         std::map<state::VmId, int> brokers;
         for (int index = 0; index < 900; ++index) {
             const state::ClientAccountId account("account-" + std::to_string(index));
@@ -91,7 +91,7 @@
         // Regions lose contact: an owner on the other side of the partition could neither poll the
         // engine nor free its memory.
         membership::MemberTable members = tableOf(18);
-        const OwnerRing ring = OwnerRing::of(members);
+        const OwnerRing ring = OwnerRing::fromMembers(members);
         for (int index = 0; index < 100; ++index) {
             const state::VmId owner = ring.endpointOwner(engine(index), oddDomain);
             CPPUNIT_ASSERT(members.find(owner)->record.description->region
@@ -99,7 +99,8 @@
         }
         for (int index = 1; index < 18; index += 2)
             setHealth(members, index, membership::MemberHealth::Dead);
-        CPPUNIT_ASSERT(!OwnerRing::of(members).endpointOwner(engine(1), oddDomain).empty());
+        CPPUNIT_ASSERT(
+                !OwnerRing::fromMembers(members).endpointOwner(engine(1), oddDomain).empty());
     }
 
     void newOwnerSettlesFirst()
@@ -111,22 +112,25 @@
         endpoints::EndpointRecord record{engine(1), 1, 1, 1, endpoints::EndpointPhase::Live};
         record.description = std::make_shared<const state::EndpointDescription>(description);
         table.apply(record, now);
-        const state::VmId first = OwnerRing::of(members).endpointOwner(engine(1), oddDomain);
+        const state::VmId first =
+                OwnerRing::fromMembers(members).endpointOwner(engine(1), oddDomain);
         const int other = first == member(1).id ? 3 : 1;
         OwnedEndpoints owned(seconds(12));
-        CPPUNIT_ASSERT(
-                owned.update(member(other).id, OwnerRing::of(members), table, now).gained.empty());
+        CPPUNIT_ASSERT(owned.update(member(other).id, OwnerRing::fromMembers(members), table, now)
+                               .gained.empty());
         setHealth(members, 4 - other, membership::MemberHealth::Dead);
         CPPUNIT_ASSERT_EQUAL(
                 std::size_t(1),
-                owned.update(member(other).id, OwnerRing::of(members), table, now).gained.size());
+                owned.update(member(other).id, OwnerRing::fromMembers(members), table, now)
+                        .gained.size());
         CPPUNIT_ASSERT(owned.owns(engine(1)) && !owned.isSettled(engine(1), now + seconds(11)));
         CPPUNIT_ASSERT(owned.isSettled(engine(1), now + seconds(12)));
         record.phase = endpoints::EndpointPhase::Left;
         table.apply(record, now);
         CPPUNIT_ASSERT_EQUAL(
                 std::size_t(1),
-                owned.update(member(other).id, OwnerRing::of(members), table, now).lost.size());
+                owned.update(member(other).id, OwnerRing::fromMembers(members), table, now)
+                        .lost.size());
         CPPUNIT_ASSERT(!owned.owns(engine(1)));
     }
 
@@ -142,7 +146,7 @@
         };
         for (const Case &size : {Case{1, 5, 0}, Case{3, 4, 2}, Case{18, 23, 17}, Case{54, 270, 7},
                                  Case{370, 1'800, 7}}) {
-            const OwnerRing ring = OwnerRing::of(tableOf(size.entries));
+            const OwnerRing ring = OwnerRing::fromMembers(tableOf(size.entries));
             std::map<state::VmId, std::size_t> watchedHomes;
             for (int entry = 0; entry < size.entries; ++entry) {
                 const auto watchers = ring.watchersOf(member(entry).id, size.replicas);
--- a/tests/coordination/quota/PartLedgerTest.cpp
+++ b/tests/coordination/quota/PartLedgerTest.cpp
@@ -38,11 +38,11 @@
     statement.from = home;
     statement.incarnation = 5;
     statement.forIncarnation = incarnation;
-    statement.statement = true;
+    statement.isStatement = true;
     node.receive(statement, start);
     node.tryStart(quotaKeyOf(account), 0, start + 10s, start);
     node.setDemand(quotaKeyOf(account), {20, 0, start + 10s});
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, node.tick(start).front().message.asks.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, node.tick(start).front().message.loanRequests.size());
     return node;
 }
 
@@ -83,10 +83,10 @@
         PartLedger lender(Dimension::InFlight);
         lender.setOwnPart(8, 0s, start);
         PartLedger user(Dimension::InFlight);
-        const QuotaAsk request = user.ask(1, home, 4, 1, 60s, start);
-        user.accept(home, *lender.answer(borrower, request, 0, 120s, start), start);
+        const LoanRequest request = user.requestLoan(1, home, 4, 1, 60s, start);
+        user.acceptGrant(home, *lender.grantLoan(borrower, request, 0, 120s, start), start);
         const auto elapsedLocally = [](state::Duration real, int parts) {
-            return real + real * parts / (2 * clockDriftParts + 1);
+            return real + real * parts / (2 * clockDriftDivisor + 1);
         };
         state::Duration real = 0s;
         while (user.borrowed(start + elapsedLocally(real, -1)) > 0)
@@ -113,8 +113,8 @@
     {
         PartLedger ledger(Dimension::InFlight);
         ledger.setOwnPart(1, 0s, start);
-        ledger.ask(1, home, 1, 1, 10s, start);
-        ledger.accept(home, {1, Dimension::InFlight, 1, 1, 0, 10'000, false}, start);
+        ledger.requestLoan(1, home, 1, 1, 10s, start);
+        ledger.acceptGrant(home, {1, Dimension::InFlight, 1, 1, 0, 10'000, false}, start);
         SlotPool pool;
         CPPUNIT_ASSERT(pool.start(start + 60s, ledger, start)); // on the own slot
         CPPUNIT_ASSERT(!pool.start(start + 11s, ledger, start));
@@ -130,10 +130,10 @@
         PartLedger lender(Dimension::InFlight);
         lender.setOwnPart(8, 0s, start);
         CPPUNIT_ASSERT(
-                lender.answer(borrower, {1, Dimension::InFlight, 1, 6, 10'000}, 0, 120s, start));
+                lender.grantLoan(borrower, {1, Dimension::InFlight, 1, 6, 10'000}, 0, 120s, start));
         lender.setOwnPart(2, 0s, start);
-        const QuotaAsk renewal{1, Dimension::InFlight, 2, 6, 10'000};
-        CPPUNIT_ASSERT(!lender.answer(borrower, renewal, 0, 120s, start + 5s));
+        const LoanRequest renewal{1, Dimension::InFlight, 2, 6, 10'000};
+        CPPUNIT_ASSERT(!lender.grantLoan(borrower, renewal, 0, 120s, start + 5s));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, lender.lent(start + 11s));
     }
 
@@ -144,11 +144,11 @@
         PartLedger lender(Dimension::TokenRate);
         lender.setOwnPart(100, 0s, start);
         TokenBucket bucket(1s);
-        bucket.settle(lender, start);
-        bucket.settle(lender, start + 5s);
+        bucket.fill(lender, start);
+        bucket.fill(lender, start + 5s);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(100, bucket.level(), 0.01);
-        lender.answer(borrower, {1, Dimension::TokenRate, 1, 60, 5'000}, 0, 5s, start + 5s);
-        bucket.settle(lender, start + 5s);
+        lender.grantLoan(borrower, {1, Dimension::TokenRate, 1, 60, 5'000}, 0, 5s, start + 5s);
+        bucket.fill(lender, start + 5s);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(40, bucket.level(), 0.01);
     }
 };
