--- a/tests/coordination/quota/QuotaNodeTest.cpp
+++ b/tests/coordination/quota/QuotaNodeTest.cpp
@@ -1,6 +1,6 @@
 // Tests global limits over many entries: they hold under all failures, and units that are idle at
 // one entry are used at another. Every case runs in virtual time with a fixed seed.
-#include "coordination/quota/QuotaFleet.h"
+#include "coordination/quota/SimulatedQuotaFleet.h"
 
 #include <cppunit/TestFixture.h>
 #include <cppunit/extensions/HelperMacros.h>
@@ -33,7 +33,7 @@
     return row;
 }
 
-void assertWithin(const QuotaFleet &fleet, const std::string &name)
+void assertWithin(const SimulatedQuotaFleet &fleet, const std::string &name)
 {
     CPPUNIT_ASSERT_EQUAL_MESSAGE(name, std::uint64_t{0}, fleet.worstExcessSlots());
     CPPUNIT_ASSERT_MESSAGE(name + " tokens over " + std::to_string(fleet.worstExcessTokens()),
@@ -62,9 +62,9 @@
     {
         // One entry with high demand, home or not, gets all units but the floors within 2 s.
         for (std::size_t hot = 0; hot < fleetSize; hot += 5) {
-            QuotaFleet fleet(fleetSize, {}, {}, hot);
+            SimulatedQuotaFleet fleet(fleetSize, {}, {}, hot);
             fleet.setRow(rowOf("a", 200, 40'000));
-            fleet.add({hot, accountKey("a"), 1'000, 10s, 60s, 10});
+            fleet.addWorkload({hot, accountKey("a"), 1'000, 10s, 60s, 10});
             fleet.run(2s);
             CPPUNIT_ASSERT_MESSAGE(std::to_string(fleet.running(accountKey("a"))),
                                    fleet.running(accountKey("a")) >= 175);
@@ -77,12 +77,12 @@
     // own part again.
     void returnedSlotsServeHomeAgain()
     {
-        QuotaFleet fleet(fleetSize, {}, {}, 3);
+        SimulatedQuotaFleet fleet(fleetSize, {}, {}, 3);
         fleet.setRow(rowOf("a", 180));
-        fleet.add({1, accountKey("a"), 400, 2s, 10s, 0});
+        fleet.addWorkload({1, accountKey("a"), 400, 2s, 10s, 0});
         fleet.run(5s);
         for (std::size_t node = 2; node < fleetSize; ++node)
-            fleet.add({node, accountKey("a"), 100, 2s, 10s, 0});
+            fleet.addWorkload({node, accountKey("a"), 100, 2s, 10s, 0});
         fleet.run(8s);
         const auto key = quotaKeyOf(accountKey("a"));
         for (std::size_t node = 2; node < fleetSize; ++node) {
@@ -114,12 +114,12 @@
                 {"everything", {0.2, 0.2, 1ms, 2s, 0.007}, true},
         };
         for (const Row &row : rows) {
-            QuotaFleet fleet(6, {}, row.faults, 11);
+            SimulatedQuotaFleet fleet(6, {}, row.faults, 11);
             fleet.setRow(rowOf("a", 31, 3'000));
             fleet.setRow(rowOf("b", 5));
             for (std::size_t node = 0; node < 6; ++node) {
-                fleet.add({node, accountKey("a"), node < 2 ? 30.0 : 2.0, 700ms, 8s, 20});
-                fleet.add({node, accountKey("b"), node == 3 ? 20.0 : 1.0, 300ms, 8s, 20});
+                fleet.addWorkload({node, accountKey("a"), node < 2 ? 30.0 : 2.0, 700ms, 8s, 20});
+                fleet.addWorkload({node, accountKey("b"), node == 3 ? 20.0 : 1.0, 300ms, 8s, 20});
             }
             for (int round = 0; row.crashes && round < 20; ++round) {
                 const auto victim = static_cast<std::size_t>(round * 7 % 6);
@@ -143,12 +143,12 @@
                                std::chrono::milliseconds(1 + random() % 2'500), 0.007};
             QuotaSettings settings;
             settings.maximumHold = std::chrono::seconds(6 + random() % 20);
-            QuotaFleet fleet(size, settings, faults, seed);
+            SimulatedQuotaFleet fleet(size, settings, faults, seed);
             fleet.setRow(rowOf("a", static_cast<std::uint32_t>(1 + random() % 60), 2'000));
             for (std::size_t node = 0; node < size; ++node)
-                fleet.add({node, accountKey("a"), 1.0 + static_cast<double>(random() % 30),
-                           std::chrono::milliseconds(100 + random() % 4'000),
-                           std::chrono::seconds(1 + random() % 20), 1 + random() % 30});
+                fleet.addWorkload({node, accountKey("a"), 1.0 + static_cast<double>(random() % 30),
+                                   std::chrono::milliseconds(100 + random() % 4'000),
+                                   std::chrono::seconds(1 + random() % 20), 1 + random() % 30});
             for (int event = 0; event < 25; ++event) {
                 const std::size_t node = random() % size;
                 const auto when = std::chrono::milliseconds(random() % 40'000);
@@ -173,10 +173,10 @@
     // up to the limit only once, and each side continues with its own parts.
     void partitionNeverGrantsLimitTwice()
     {
-        QuotaFleet fleet(fleetSize, {}, {}, 5);
+        SimulatedQuotaFleet fleet(fleetSize, {}, {}, 5);
         fleet.setRow(rowOf("a", 180, 18'000));
         for (std::size_t node = 0; node < fleetSize; ++node)
-            fleet.add({node, accountKey("a"), 40, 1s, 10s, 8});
+            fleet.addWorkload({node, accountKey("a"), 40, 1s, 10s, 8});
         fleet.run(5s);
         fleet.partition([](std::size_t node) { return node % 3 == 0 ? 1 : 0; });
         fleet.run(20s);
@@ -191,7 +191,7 @@
     // forever.
     void busyHomesLendToOtherEntries()
     {
-        QuotaFleet fleet(fleetSize, {}, {}, 10);
+        SimulatedQuotaFleet fleet(fleetSize, {}, {}, 10);
         fleet.setRow(rowOf("a", 32));
         const auto homes = fleet.quota(0).homes(quotaKeyOf(accountKey("a")));
         CPPUNIT_ASSERT_EQUAL(std::size_t{8}, homes.size());
@@ -200,10 +200,10 @@
             const bool isHome = std::find(homes.begin(), homes.end(), fleetVm(node)) != homes.end();
             nonHome = isHome ? nonHome : node;
             if (isHome)
-                fleet.add({node, accountKey("a"), 20, 1s, 10s, 0});
+                fleet.addWorkload({node, accountKey("a"), 20, 1s, 10s, 0});
         }
         fleet.run(5s);
-        fleet.add({nonHome, accountKey("a"), 40, 1s, 10s, 0});
+        fleet.addWorkload({nonHome, accountKey("a"), 40, 1s, 10s, 0});
         fleet.run(10s);
         const auto key = quotaKeyOf(accountKey("a"));
         const QuotaView view = fleet.quota(nonHome).view(key, fleet.localNow(nonHome));
@@ -215,10 +215,10 @@
     // of the other entries, the limit shrinks by one part of eighteen.
     void lostHomeCostsOnlyItsPart()
     {
-        QuotaFleet fleet(fleetSize, {}, {}, 6);
+        SimulatedQuotaFleet fleet(fleetSize, {}, {}, 6);
         fleet.setRow(rowOf("a", 180));
         for (std::size_t node = 1; node < fleetSize; ++node)
-            fleet.add({node, accountKey("a"), 40, 1s, 10s, 0});
+            fleet.addWorkload({node, accountKey("a"), 40, 1s, 10s, 0});
         fleet.run(5s);
         fleet.crash(0);
         fleet.run(15s);
@@ -230,14 +230,14 @@
     // so they use the slots again only after the requested durations of the loans.
     void slotsOfFailedBorrowerReturn()
     {
-        QuotaFleet fleet(3, {}, {}, 7);
+        SimulatedQuotaFleet fleet(3, {}, {}, 7);
         fleet.setRow(rowOf("a", 30));
-        fleet.add({0, accountKey("a"), 100, 5s, 20s, 0});
+        fleet.addWorkload({0, accountKey("a"), 100, 5s, 20s, 0});
         fleet.run(4s);
         CPPUNIT_ASSERT(fleet.running(accountKey("a")) >= 27);
         fleet.clearWorkloads();
         fleet.crash(0);
-        fleet.add({1, accountKey("a"), 100, 1s, 20s, 0});
+        fleet.addWorkload({1, accountKey("a"), 100, 1s, 20s, 0});
         fleet.run(5s);
         CPPUNIT_ASSERT(fleet.running(accountKey("a")) <= 10);
         fleet.run(25s);
@@ -252,10 +252,10 @@
     {
         QuotaSettings settings;
         settings.maximumHold = 6s;
-        QuotaFleet fleet(4, settings, {}, 8);
+        SimulatedQuotaFleet fleet(4, settings, {}, 8);
         fleet.setRow(rowOf("a", 40));
         for (std::size_t node = 0; node < 4; ++node)
-            fleet.add({node, accountKey("a"), 60, 1s, 5s, 0});
+            fleet.addWorkload({node, accountKey("a"), 60, 1s, 5s, 0});
         fleet.run(3s);
         for (const std::size_t node : {0U, 1U, 2U})
             fleet.configure({0, 1, 2}, 2, node);
@@ -269,10 +269,10 @@
 
     void raisedAndLoweredLimitsTakeEffect()
     {
-        QuotaFleet fleet(fleetSize, {}, {}, 9);
+        SimulatedQuotaFleet fleet(fleetSize, {}, {}, 9);
         fleet.setRow(rowOf("a", 180));
         for (std::size_t node = 0; node < fleetSize; ++node)
-            fleet.add({node, accountKey("a"), 60, 500ms, 5s, 0});
+            fleet.addWorkload({node, accountKey("a"), 60, 500ms, 5s, 0});
         fleet.run(3s);
         fleet.setRow(rowOf("a", 360));
         fleet.run(3s);
--- a/tests/coordination/quota/ShareNodeTest.cpp
+++ b/tests/coordination/quota/ShareNodeTest.cpp
@@ -2,7 +2,7 @@
 // wherever its callers are. The fleet is a fluid model: each entry serves at its share of the
 // capacity, which it divides by weight.
 #include "coordination/quota/ShareNode.h"
-#include "coordination/quota/QuotaFleet.h"
+#include "coordination/quota/SimulatedQuotaFleet.h"
 
 #include <cppunit/TestFixture.h>
 #include <cppunit/extensions/HelperMacros.h>
@@ -82,7 +82,7 @@
     void publishLive()
     {
         for (ShareNode &entry : this->entries)
-            entry.setLive(this->live);
+            entry.setLiveEntries(this->live);
     }
 
     void exchange()
@@ -143,7 +143,7 @@
     {
         if (!this->backlog[account][entry])
             return 0;
-        return coordinated ? this->entries[entry].weightHere(account + 1) : this->weights[account];
+        return coordinated ? this->entries[entry].localWeight(account + 1) : this->weights[account];
     }
 
     void measure(const std::vector<double> &served)
--- a/tests/coordination/quota/QuotaFleet.cpp
+++ b/tests/coordination/quota/SimulatedQuotaFleet.cpp
@@ -1,5 +1,5 @@
 // Event loop, network and limit checks of the simulated fleet.
-#include "coordination/quota/QuotaFleet.h"
+#include "coordination/quota/SimulatedQuotaFleet.h"
 
 #include <algorithm>
 #include <cmath>
@@ -17,8 +17,8 @@
     return state::VmId("vm-" + std::string(4 - std::min<std::size_t>(text.size(), 4), '0') + text);
 }
 
-QuotaFleet::QuotaFleet(std::size_t size, QuotaSettings settings, FleetFaults faults,
-                       std::uint64_t seed)
+SimulatedQuotaFleet::SimulatedQuotaFleet(std::size_t size, QuotaSettings settings,
+                                         FleetFaults faults, std::uint64_t seed)
     : settings(settings)
     , faults(faults)
     , random(seed)
@@ -28,27 +28,27 @@
         this->roster.entries.push_back(fleetVm(node));
     this->roster.version = 1;
     for (std::size_t node = 0; node < size; ++node) {
-        this->nodes[node].clockRate = 1 + this->faults.clockSkew * (2 * this->chance() - 1);
+        this->nodes[node].clockRate = 1 + this->faults.clockSkew * (2 * this->randomFraction() - 1);
         this->nodes[node].clockOffset = std::chrono::milliseconds(this->random() % 1'000'000);
-        this->boot(node, std::chrono::hours(1));
+        this->startNode(node, std::chrono::hours(1));
     }
 }
 
-Instant QuotaFleet::localNow(std::size_t node) const
+Instant SimulatedQuotaFleet::localNow(std::size_t node) const
 {
     const auto elapsed = static_cast<double>(this->now.time_since_epoch().count());
     const auto local = static_cast<std::int64_t>(elapsed * this->nodes[node].clockRate);
     return Instant(Duration(local) + this->nodes[node].clockOffset);
 }
 
-void QuotaFleet::boot(std::size_t node, Duration rosterAge)
+void SimulatedQuotaFleet::startNode(std::size_t node, Duration rosterAge)
 {
     Node &self = this->nodes[node];
     const Instant local = this->localNow(node);
     self.quota =
             std::make_unique<QuotaNode>(fleetVm(node), self.incarnation, this->settings, local);
     self.quota->configure(this->roster, rosterAge, local);
-    for (const auto &[account, totals] : this->watched)
+    for (const auto &[account, totals] : this->accountTotals)
         self.quota->setRow(totals.row, local);
     const Duration jitter(static_cast<std::int64_t>(this->random() % tickInterval.count()));
     this->at(jitter, [this, node, incarnation = self.incarnation] {
@@ -57,20 +57,20 @@
     });
 }
 
-void QuotaFleet::setRow(const state::TableRow &row)
+void SimulatedQuotaFleet::setRow(const state::TableRow &row)
 {
-    Watched &totals = this->watched[row.key];
+    AccountTotals &totals = this->accountTotals[row.key];
     totals.row = row;
     totals.tokenLevel = static_cast<double>(row.tokensPerSecondLimit);
-    totals.filledTo = this->now;
+    totals.filledUntil = this->now;
     for (std::size_t node = 0; node < this->nodes.size(); ++node) {
         if (this->isUp(node))
             this->nodes[node].quota->setRow(row, this->localNow(node));
     }
 }
 
-void QuotaFleet::configure(const std::vector<std::size_t> &members, std::uint64_t version,
-                           std::size_t at)
+void SimulatedQuotaFleet::configure(const std::vector<std::size_t> &members, std::uint64_t version,
+                                    std::size_t at)
 {
     Roster next;
     next.version = version;
@@ -79,13 +79,13 @@
     this->nodes[at].quota->configure(next, Duration(0), this->localNow(at));
 }
 
-void QuotaFleet::add(const Workload &workload)
+void SimulatedQuotaFleet::addWorkload(const Workload &workload)
 {
     this->workloads.push_back(workload);
     this->arrive(this->workloads.size() - 1);
 }
 
-void QuotaFleet::run(Duration length)
+void SimulatedQuotaFleet::run(Duration length)
 {
     const Instant end = this->now + length;
     while (!this->events.empty() && this->events.top().when <= end) {
@@ -97,12 +97,12 @@
     this->now = end;
 }
 
-void QuotaFleet::at(Duration fromNow, std::function<void()> action)
+void SimulatedQuotaFleet::at(Duration fromNow, std::function<void()> action)
 {
     this->events.push({this->now + fromNow, this->nextOrder++, std::move(action)});
 }
 
-void QuotaFleet::crash(std::size_t node)
+void SimulatedQuotaFleet::crash(std::size_t node)
 {
     this->nodes[node].quota.reset();
     this->nodes[node].waiting.clear();
@@ -110,19 +110,19 @@
     ++this->nodes[node].incarnation;
 }
 
-void QuotaFleet::restart(std::size_t node)
+void SimulatedQuotaFleet::restart(std::size_t node)
 {
     if (!this->isUp(node))
-        this->boot(node, std::chrono::hours(1));
+        this->startNode(node, std::chrono::hours(1));
 }
 
-void QuotaFleet::partition(const std::function<int(std::size_t)> &sideOf)
+void SimulatedQuotaFleet::partition(const std::function<int(std::size_t)> &sideOf)
 {
     for (std::size_t node = 0; node < this->nodes.size(); ++node)
         this->nodes[node].side = sideOf(node);
 }
 
-std::uint64_t QuotaFleet::running(const TableKey &account) const
+std::uint64_t SimulatedQuotaFleet::running(const TableKey &account) const
 {
     std::uint64_t sum = 0;
     for (const Node &node : this->nodes) {
@@ -132,23 +132,24 @@
     return sum;
 }
 
-std::uint64_t QuotaFleet::started(const TableKey &account) const
+std::uint64_t SimulatedQuotaFleet::started(const TableKey &account) const
 {
-    return this->watched.at(account).started;
+    return this->accountTotals.at(account).started;
 }
 
-void QuotaFleet::tick(std::size_t node)
+void SimulatedQuotaFleet::tick(std::size_t node)
 {
     Node &self = this->nodes[node];
     if (!self.quota)
         return;
     const Instant local = this->localNow(node);
     for (auto &[account, queue] : self.waiting) {
-        std::erase_if(queue, [&](const Waiting &request) { return request.deadline <= local; });
+        std::erase_if(queue,
+                      [&](const WaitingRequest &request) { return request.deadline <= local; });
         this->startWaiting(node, account);
         QuotaDemand demand;
         demand.waitingRequests = queue.size();
-        for (const Waiting &request : queue) {
+        for (const WaitingRequest &request : queue) {
             demand.latestDeadline = std::max(demand.latestDeadline, request.deadline);
             demand.tokensPerSecond += request.tokens / 2;
         }
@@ -166,37 +167,37 @@
     });
 }
 
-void QuotaFleet::arrive(std::size_t index)
+void SimulatedQuotaFleet::arrive(std::size_t index)
 {
     if (index >= this->workloads.size())
         return;
     const Workload &load = this->workloads[index];
     if (this->isUp(load.node)) {
         const auto spread = Duration(static_cast<std::int64_t>(
-                static_cast<double>(load.service.count()) * 2 * this->chance()));
+                static_cast<double>(load.serviceTime.count()) * 2 * this->randomFraction()));
         const Instant deadline = this->localNow(load.node) + load.deadline;
         this->nodes[load.node].waiting[load.account].push_back({deadline, spread, load.tokens});
         this->startWaiting(load.node, load.account);
     }
-    const double gap = -std::log(1 - this->chance()) / load.arrivalsPerSecond;
+    const double gap = -std::log(1 - this->randomFraction()) / load.arrivalsPerSecond;
     this->at(Duration(static_cast<std::int64_t>(gap * 1e6)),
              [this, index] { this->arrive(index); });
 }
 
-void QuotaFleet::startWaiting(std::size_t node, const TableKey &account)
+void SimulatedQuotaFleet::startWaiting(std::size_t node, const TableKey &account)
 {
     Node &self = this->nodes[node];
     auto &queue = self.waiting[account];
     while (!queue.empty()) {
-        const Waiting request = queue.front();
+        const WaitingRequest request = queue.front();
         const Instant local = this->localNow(node);
         if (self.quota->tryStart(quotaKeyOf(account), request.tokens, request.deadline, local)
-            != QuotaVerdict::Started)
+            != QuotaResult::Started)
             return;
         queue.pop_front();
         ++self.running[account];
-        this->watchStart(account, request.tokens);
-        const Duration length = std::min(request.service, request.deadline - local);
+        this->checkLimits(account, request.tokens);
+        const Duration length = std::min(request.serviceTime, request.deadline - local);
         // With a slow clock, a request runs a little longer than its deadline allows.
         const auto real = Duration(
                 static_cast<std::int64_t>(static_cast<double>(length.count()) / self.clockRate));
@@ -211,9 +212,9 @@
     }
 }
 
-void QuotaFleet::watchStart(const TableKey &account, std::uint64_t tokens)
+void SimulatedQuotaFleet::checkLimits(const TableKey &account, std::uint64_t tokens)
 {
-    Watched &totals = this->watched.at(account);
+    AccountTotals &totals = this->accountTotals.at(account);
     ++totals.started;
     const std::uint64_t limit = totals.row.inFlightLimit;
     const std::uint64_t all = this->running(account);
@@ -222,17 +223,17 @@
     const auto rate = static_cast<double>(totals.row.tokensPerSecondLimit);
     if (rate == 0)
         return;
-    const double elapsed = std::chrono::duration<double>(this->now - totals.filledTo).count();
+    const double elapsed = std::chrono::duration<double>(this->now - totals.filledUntil).count();
     const double full = rate * std::chrono::duration<double>(this->settings.burst).count();
     // A node with a fast clock fills its bucket faster.
     const double fastest = rate * (1 + this->faults.clockSkew);
     totals.tokenLevel = std::min(totals.tokenLevel + fastest * elapsed, full);
     totals.tokenLevel -= static_cast<double>(tokens);
-    totals.filledTo = this->now;
+    totals.filledUntil = this->now;
     this->excessTokens = std::max(this->excessTokens, -totals.tokenLevel);
 }
 
-void QuotaFleet::send(std::size_t from, const std::vector<OutgoingQuotaMessage> &messages)
+void SimulatedQuotaFleet::send(std::size_t from, const std::vector<OutgoingQuotaMessage> &messages)
 {
     for (const OutgoingQuotaMessage &message : messages) {
         if (this->onSend)
@@ -240,13 +241,14 @@
         const auto place = std::lower_bound(this->roster.entries.begin(),
                                             this->roster.entries.end(), message.to);
         const auto to = static_cast<std::size_t>(place - this->roster.entries.begin());
-        int copies = this->chance() < this->faults.loss ? 0 : 1;
-        copies += this->chance() < this->faults.doubled ? 1 : 0;
+        int copies = this->randomFraction() < this->faults.loss ? 0 : 1;
+        copies += this->randomFraction() < this->faults.duplication ? 1 : 0;
         for (int copy = 0; copy < copies; ++copy) {
-            const Duration spread = this->faults.mostDelay - this->faults.leastDelay;
-            const auto delay = this->faults.leastDelay
-                               + Duration(static_cast<std::int64_t>(
-                                       static_cast<double>(spread.count()) * this->chance()));
+            const Duration spread = this->faults.maximumDelay - this->faults.minimumDelay;
+            const auto delay =
+                    this->faults.minimumDelay
+                    + Duration(static_cast<std::int64_t>(static_cast<double>(spread.count())
+                                                         * this->randomFraction()));
             this->at(delay, [this, from, to, copied = message.message] {
                 this->deliver(from, to, copied);
             });
@@ -254,13 +256,13 @@
     }
 }
 
-void QuotaFleet::deliver(std::size_t from, std::size_t to, const QuotaMessage &message)
+void SimulatedQuotaFleet::deliver(std::size_t from, std::size_t to, const QuotaMessage &message)
 {
     if (!this->isUp(to) || this->nodes[from].side != this->nodes[to].side)
         return;
     this->send(to, this->nodes[to].quota->receive(message, this->localNow(to)));
     for (const auto &grant : message.grants) {
-        for (const auto &[account, totals] : this->watched) {
+        for (const auto &[account, totals] : this->accountTotals) {
             if (quotaKeyOf(account) == grant.key)
                 this->startWaiting(to, account);
         }
--- a/tests/coordination/quota/QuotaFleet.h
+++ b/tests/coordination/quota/SimulatedQuotaFleet.h
@@ -20,9 +20,9 @@
 struct FleetFaults
 {
     double loss = 0;
-    double doubled = 0;
-    state::Duration leastDelay = std::chrono::milliseconds(1);
-    state::Duration mostDelay = std::chrono::milliseconds(1);
+    double duplication = 0;
+    state::Duration minimumDelay = std::chrono::milliseconds(1);
+    state::Duration maximumDelay = std::chrono::milliseconds(1);
     double clockSkew = 0; // largest relative error of each clock rate, fast or slow
 };
 
@@ -32,19 +32,20 @@
     std::size_t node = 0;
     state::TableKey account;
     double arrivalsPerSecond = 0;
-    state::Duration service = std::chrono::milliseconds(500); // mean
+    state::Duration serviceTime = std::chrono::milliseconds(500); // mean
     state::Duration deadline = std::chrono::seconds(10);
     std::uint64_t tokens = 0;
 };
 
-class QuotaFleet
+class SimulatedQuotaFleet
 {
 public:
-    QuotaFleet(std::size_t size, QuotaSettings settings, FleetFaults faults, std::uint64_t seed);
+    SimulatedQuotaFleet(std::size_t size, QuotaSettings settings, FleetFaults faults,
+                        std::uint64_t seed);
 
     void setRow(const state::TableRow &row); // at all nodes at once
     void configure(const std::vector<std::size_t> &members, std::uint64_t version, std::size_t at);
-    void add(const Workload &workload);
+    void addWorkload(const Workload &workload);
     void clearWorkloads() { this->workloads.clear(); }
     void run(state::Duration length);
     void at(state::Duration fromNow, std::function<void()> action);
@@ -70,10 +71,10 @@
     std::function<void(std::size_t from, const OutgoingQuotaMessage &)> onSend; // may be empty
 
 private:
-    struct Waiting
+    struct WaitingRequest
     {
         state::Instant deadline; // local time of the node
-        state::Duration service;
+        state::Duration serviceTime;
         std::uint64_t tokens;
     };
 
@@ -84,7 +85,7 @@
         double clockRate = 1;
         state::Duration clockOffset{0};
         int side = 0;
-        std::map<state::TableKey, std::deque<Waiting>> waiting;
+        std::map<state::TableKey, std::deque<WaitingRequest>> waiting;
         std::map<state::TableKey, std::uint64_t> running;
     };
 
@@ -100,22 +101,22 @@
         }
     };
 
-    struct Watched
+    struct AccountTotals
     {
         state::TableRow row;
         double tokenLevel = 0; // of one bucket for the whole fleet; below 0 on an excess
-        state::Instant filledTo{};
+        state::Instant filledUntil{};
         std::uint64_t started = 0;
     };
 
-    void boot(std::size_t node, state::Duration rosterAge);
+    void startNode(std::size_t node, state::Duration rosterAge);
     void tick(std::size_t node);
     void arrive(std::size_t workload);
     void startWaiting(std::size_t node, const state::TableKey &account);
-    void watchStart(const state::TableKey &account, std::uint64_t tokens);
+    void checkLimits(const state::TableKey &account, std::uint64_t tokens);
     void send(std::size_t from, const std::vector<OutgoingQuotaMessage> &messages);
     void deliver(std::size_t from, std::size_t to, const QuotaMessage &message);
-    double chance() { return static_cast<double>(this->random() >> 11U) * 0x1p-53; }
+    double randomFraction() { return static_cast<double>(this->random() >> 11U) * 0x1p-53; }
 
     QuotaSettings settings;
     FleetFaults faults;
@@ -123,7 +124,7 @@
     std::vector<Node> nodes;
     Roster roster;
     std::vector<Workload> workloads;
-    std::map<state::TableKey, Watched> watched;
+    std::map<state::TableKey, AccountTotals> accountTotals;
     std::priority_queue<Event, std::vector<Event>, std::greater<>> events;
     std::uint64_t nextOrder = 0;
     state::Instant now{std::chrono::hours(1)};
--- a/tests/coordination/quota/TokenBucketTest.cpp
+++ b/tests/coordination/quota/TokenBucketTest.cpp
@@ -25,11 +25,11 @@
         PartLedger ledger(Dimension::TokenRate);
         ledger.setOwnPart(100, 0s, start);
         TokenBucket bucket(100s);
-        bucket.settle(ledger, start);
+        bucket.fill(ledger, start);
         const state::VmId home("home");
-        ledger.ask(1, home, 50, 7, 5s, start);
-        ledger.accept(home, {1, Dimension::TokenRate, 7, 50, 0, 5'000, false}, start);
-        bucket.settle(ledger, start + 60s);
+        ledger.requestLoan(1, home, 50, 7, 5s, start);
+        ledger.acceptGrant(home, {1, Dimension::TokenRate, 7, 50, 0, 5'000, false}, start);
+        bucket.fill(ledger, start + 60s);
         // 100 per second for 60 s, and 50 per second for 5 s minus the drift.
         CPPUNIT_ASSERT_DOUBLES_EQUAL(6'000 + 50 * (5 - 5 / 64.0), bucket.level(), 0.01);
     }
--- a/tests/coordination/relay/EventSplitterTest.cpp
+++ b/tests/coordination/relay/EventSplitterTest.cpp
@@ -46,11 +46,11 @@
             std::string passed;
             for (std::size_t at = 0; at < whole.size();) {
                 const std::size_t chunkSize = 1 + random() % 60;
-                passed += splitter.take(std::string_view(whole).substr(at, chunkSize));
+                passed += splitter.append(std::string_view(whole).substr(at, chunkSize));
                 at += chunkSize;
             }
             CPPUNIT_ASSERT_EQUAL(whole, passed);
-            CPPUNIT_ASSERT(!splitter.hasRest());
+            CPPUNIT_ASSERT(!splitter.hasPartialEvent());
         }
     }
 
@@ -59,35 +59,35 @@
     void anotherEndpointContinuesAfterAPartialEvent()
     {
         EventSplitter splitter;
-        std::string passed = splitter.take(events(1, 2) + "id: 3\ndata: tok");
-        CPPUNIT_ASSERT(splitter.hasRest());
+        std::string passed = splitter.append(events(1, 2) + "id: 3\ndata: tok");
+        CPPUNIT_ASSERT(splitter.hasPartialEvent());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), *splitter.lastId());
-        splitter.dropRest();
-        passed += splitter.take(events(3, 5));
+        splitter.dropPartialEvent();
+        passed += splitter.append(events(3, 5));
         CPPUNIT_ASSERT_EQUAL(events(1, 5), passed);
     }
 
     void repeatedEventsAreLeftOut()
     {
         EventSplitter splitter;
-        splitter.resumeBehind(4);
-        CPPUNIT_ASSERT_EQUAL(events(5, 6), splitter.take(events(3, 6)));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), splitter.passed());
+        splitter.resumeAfter(4);
+        CPPUNIT_ASSERT_EQUAL(events(5, 6), splitter.append(events(3, 6)));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t(2), splitter.passedEvents());
     }
 
     void eventsWithoutIdsPass()
     {
         EventSplitter splitter;
-        CPPUNIT_ASSERT_EQUAL(std::string("data: x\n\n"), splitter.take("data: x\n\n"));
+        CPPUNIT_ASSERT_EQUAL(std::string("data: x\n\n"), splitter.append("data: x\n\n"));
         CPPUNIT_ASSERT(!splitter.lastId());
-        CPPUNIT_ASSERT_EQUAL(std::string("id: none\n\n"), splitter.take("id: none\n\n"));
+        CPPUNIT_ASSERT_EQUAL(std::string("id: none\n\n"), splitter.append("id: none\n\n"));
     }
 
     void crlfEndsEventsToo()
     {
         EventSplitter splitter;
-        CPPUNIT_ASSERT_EQUAL(std::string("id: 1\r\n\r\n"), splitter.take("id: 1\r\n\r\nid: 2"));
-        CPPUNIT_ASSERT(splitter.hasRest());
+        CPPUNIT_ASSERT_EQUAL(std::string("id: 1\r\n\r\n"), splitter.append("id: 1\r\n\r\nid: 2"));
+        CPPUNIT_ASSERT(splitter.hasPartialEvent());
     }
 };
 
--- a/tests/coordination/relay/FinalAnswerTest.cpp
+++ b/tests/coordination/relay/FinalAnswerTest.cpp
@@ -13,29 +13,29 @@
 
 namespace {
 
-constexpr std::array allOutcomes = {AttemptEnd::NeverSent, AttemptEnd::NotRun, AttemptEnd::Failed,
-                                    AttemptEnd::Lost};
+constexpr std::array allOutcomes = {AttemptResult::NeverSent, AttemptResult::NotRun,
+                                    AttemptResult::Failed, AttemptResult::Lost};
 
-bool mayHaveRun(AttemptEnd end)
+bool mayHaveRun(AttemptResult end)
 {
-    return end == AttemptEnd::Failed || end == AttemptEnd::Lost;
+    return end == AttemptResult::Failed || end == AttemptResult::Lost;
 }
 
-void add(CallFacts &facts, AttemptEnd end)
+void add(CallState &facts, AttemptResult end)
 {
     ++(mayHaveRun(end) ? facts.runs : facts.refusals);
 }
 
 // Applies the retry rules to a sequence of attempt outcomes; returns the number of attempts made.
-std::size_t runAttempts(CallFacts &facts, const std::vector<AttemptEnd> &outcomes,
+std::size_t runAttempts(CallState &facts, const std::vector<AttemptResult> &outcomes,
                         bool &endpointAnswered)
 {
     std::size_t made = 0;
-    for (const AttemptEnd end : outcomes) {
+    for (const AttemptResult end : outcomes) {
         ++made;
         add(facts, end);
-        endpointAnswered = endpointAnswered || end == AttemptEnd::Failed;
-        if (!mayTryAgain(facts, end))
+        endpointAnswered = endpointAnswered || end == AttemptResult::Failed;
+        if (!mayRetry(facts, end))
             break;
     }
     return made;
@@ -57,9 +57,9 @@
     static void forAllOutcomes(Check check)
     {
         for (const bool repeatable : {false, true}) {
-            for (const AttemptEnd first : allOutcomes) {
-                for (const AttemptEnd second : allOutcomes) {
-                    for (const AttemptEnd third : allOutcomes)
+            for (const AttemptResult first : allOutcomes) {
+                for (const AttemptResult second : allOutcomes) {
+                    for (const AttemptResult third : allOutcomes)
                         check(repeatable, std::vector{first, second, third});
                 }
             }
@@ -72,8 +72,8 @@
     // after.
     void nonRepeatableCallsRunOnce()
     {
-        forAllOutcomes([](bool repeatable, const std::vector<AttemptEnd> &outcomes) {
-            CallFacts facts{.repeatable = repeatable, .allowedRuns = 3};
+        forAllOutcomes([](bool repeatable, const std::vector<AttemptResult> &outcomes) {
+            CallState facts{.repeatable = repeatable, .maxRuns = 3};
             bool answered = false;
             runAttempts(facts, outcomes, answered);
             CPPUNIT_ASSERT(repeatable || facts.runs <= 1);
@@ -83,8 +83,8 @@
     // A caller that is told "not run" sends its call again, so no earlier attempt may have run it.
     void notRunIsTrue()
     {
-        forAllOutcomes([](bool repeatable, const std::vector<AttemptEnd> &outcomes) {
-            CallFacts facts{.repeatable = repeatable, .allowedRuns = 3};
+        forAllOutcomes([](bool repeatable, const std::vector<AttemptResult> &outcomes) {
+            CallState facts{.repeatable = repeatable, .maxRuns = 3};
             bool answered = false;
             const std::size_t made = runAttempts(facts, outcomes, answered);
             bool ran = false;
@@ -97,8 +97,8 @@
 
     void runsStayWithinTheLimit()
     {
-        forAllOutcomes([](bool repeatable, const std::vector<AttemptEnd> &outcomes) {
-            CallFacts facts{.repeatable = repeatable, .allowedRuns = 2};
+        forAllOutcomes([](bool repeatable, const std::vector<AttemptResult> &outcomes) {
+            CallState facts{.repeatable = repeatable, .maxRuns = 2};
             bool answered = false;
             runAttempts(facts, outcomes, answered);
             CPPUNIT_ASSERT(facts.runs <= 2);
@@ -107,9 +107,9 @@
 
     void refusalsAreBounded()
     {
-        CallFacts facts{.repeatable = true, .allowedRuns = 2};
+        CallState facts{.repeatable = true, .maxRuns = 2};
         bool answered = false;
-        const std::vector<AttemptEnd> outcomes(10, AttemptEnd::NotRun);
+        const std::vector<AttemptResult> outcomes(10, AttemptResult::NotRun);
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), runAttempts(facts, outcomes, answered));
     }
 
@@ -118,19 +118,19 @@
         struct Case
         {
             const char *name;
-            CallFacts facts;
+            CallState facts;
             bool endpointAnswer;
             FinalAnswer expected;
         };
         const std::vector<Case> cases = {
                 {"caller gone", {.runs = 1, .callerGone = true}, true, FinalAnswer::None},
-                {"stream begun", {.runs = 1, .answerBegun = true}, true, FinalAnswer::Cut},
+                {"stream begun", {.runs = 1, .answerBegun = true}, true, FinalAnswer::Truncated},
                 {"endpoint failed it", {.runs = 1}, true, FinalAnswer::EndpointAnswer},
                 {"lost", {.runs = 1}, false, FinalAnswer::Unknown},
-                {"lost and late", {.runs = 1, .timeIsOver = true}, false, FinalAnswer::Timeout},
+                {"lost and late", {.runs = 1, .deadlinePassed = true}, false, FinalAnswer::Timeout},
                 {"refused", {.refusals = 2}, false, FinalAnswer::NotRun},
                 {"refused and late",
-                 {.refusals = 1, .timeIsOver = true},
+                 {.refusals = 1, .deadlinePassed = true},
                  false,
                  FinalAnswer::NotRun},
                 {"nobody asked", {}, false, FinalAnswer::NotRun},
--- a/tests/coordination/routing/FleetTest.cpp
+++ b/tests/coordination/routing/FleetTest.cpp
@@ -59,7 +59,7 @@
     static WorkNote noteOf(const state::EndpointId &engine, std::uint32_t tokens)
     {
         WorkNote note;
-        note.work = tokens;
+        note.requestHash = tokens;
         note.engine = EngineKey::of(engine);
         note.promptTokens = note.prefillTokens = note.memoryTokens = tokens;
         note.outputTokens = 100;
@@ -101,14 +101,14 @@
         EngineView &holder = *fleet.find(state::EndpointId("engine-0"));
         EngineView &other = *fleet.find(state::EndpointId("engine-1"));
         const WorkNote note = noteOf(state::EndpointId("engine-9"), 390'000);
-        holder.help(note, 200'000, this->start);
-        other.help(note, 0, this->start);
-        fleet.helpOver(note.work, WorkStage::Decoding, this->start);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), holder.residents().size());
+        holder.addHelperWork(note, 200'000, this->start);
+        other.addHelperWork(note, 0, this->start);
+        fleet.completeHelperWork(note.requestHash, WorkStage::Decoding, this->start);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), holder.residentWork().size());
         CPPUNIT_ASSERT_EQUAL(0.0, holder.prefillSecondsLeft());
-        CPPUNIT_ASSERT_EQUAL(std::size_t(0), other.residents().size());
-        fleet.helpOver(note.work, WorkStage::Ended, this->start);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(0), holder.residents().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(0), other.residentWork().size());
+        fleet.completeHelperWork(note.requestHash, WorkStage::Ended, this->start);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(0), holder.residentWork().size());
     }
 
     void partIsRemovedAtItsDeadline()
@@ -119,9 +119,9 @@
         Fleet fleet = fleetOf(1);
         EngineView &helper = *fleet.find(state::EndpointId("engine-0"));
         const WorkNote note = noteOf(state::EndpointId("engine-9"), 390'000);
-        helper.help(note, 0, this->start);
-        fleet.helpOver(note.work, WorkStage::Ended, this->start + lifetime);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(0), helper.residents().size());
+        helper.addHelperWork(note, 0, this->start);
+        fleet.completeHelperWork(note.requestHash, WorkStage::Ended, this->start + lifetime);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(0), helper.residentWork().size());
     }
 
     void avoidedDomainIsLastChoice()
@@ -129,12 +129,13 @@
         Fleet fleet = fleetOf(8);
         ChoiceQuery query = queryOf(3'000);
         for (const char *domain : {"even", "odd"}) {
-            query.avoid = state::FailureDomain(domain);
+            query.avoidedDomain = state::FailureDomain(domain);
             const auto choice = fleet.choose(query, this->start);
-            CPPUNIT_ASSERT(fleet.find(choice->engine)->description().failureDomain != query.avoid);
+            CPPUNIT_ASSERT(fleet.find(choice->engine)->description().failureDomain
+                           != query.avoidedDomain);
         }
         Fleet alone = fleetOf(1);
-        query.avoid = state::FailureDomain("even");
+        query.avoidedDomain = state::FailureDomain("even");
         CPPUNIT_ASSERT(alone.choose(query, this->start).has_value());
     }
 
--- a/tests/coordination/routing/HealthTest.cpp
+++ b/tests/coordination/routing/HealthTest.cpp
@@ -35,8 +35,8 @@
     {
         EndpointHealth health;
         for (int call = 0; call < 200; ++call) {
-            const auto outcome = call % 7 == 0 ? AttemptHealth::Failed : AttemptHealth::Served;
-            CPPUNIT_ASSERT(!health.note(this->id, 1, outcome, this->now));
+            const auto outcome = call % 7 == 0 ? AttemptOutcome::Failed : AttemptOutcome::Succeeded;
+            CPPUNIT_ASSERT(!health.recordAttempt(this->id, 1, outcome, this->now));
             this->now += std::chrono::milliseconds(50);
         }
     }
@@ -46,7 +46,7 @@
         EndpointHealth health;
         state::Duration before{0};
         for (int round = 0; round < 3; ++round) {
-            while (!health.note(this->id, 1, AttemptHealth::Failed, this->now))
+            while (!health.recordAttempt(this->id, 1, AttemptOutcome::Failed, this->now))
                 this->now += std::chrono::milliseconds(100);
             state::Duration duration{0};
             while (health.isSuspect(this->id, 1, this->now + duration))
@@ -60,7 +60,7 @@
     void unreachableEndpointIsSuspectAtOnce()
     {
         EndpointHealth health;
-        CPPUNIT_ASSERT(health.note(this->id, 1, AttemptHealth::Unreachable, this->now));
+        CPPUNIT_ASSERT(health.recordAttempt(this->id, 1, AttemptOutcome::Unreachable, this->now));
         CPPUNIT_ASSERT(health.isSuspect(this->id, 1, this->now));
         CPPUNIT_ASSERT(!health.isSuspect(this->id, 1, this->now + std::chrono::seconds(2)));
     }
@@ -68,10 +68,10 @@
     void restartClearsSuspicion()
     {
         EndpointHealth health;
-        health.note(this->id, 1, AttemptHealth::Unreachable, this->now);
+        health.recordAttempt(this->id, 1, AttemptOutcome::Unreachable, this->now);
         CPPUNIT_ASSERT(!health.isSuspect(this->id, 2, this->now));
-        health.note(this->id, 2, AttemptHealth::Served, this->now);
-        CPPUNIT_ASSERT(!health.note(this->id, 1, AttemptHealth::Unreachable, this->now));
+        health.recordAttempt(this->id, 2, AttemptOutcome::Succeeded, this->now);
+        CPPUNIT_ASSERT(!health.recordAttempt(this->id, 1, AttemptOutcome::Unreachable, this->now));
         CPPUNIT_ASSERT(!health.isSuspect(this->id, 2, this->now));
     }
 
@@ -79,10 +79,10 @@
     {
         ReplicaChooser chooser(1);
         const std::vector<ReplicaCandidate> replicas = {replica(0), replica(1), replica(2)};
-        chooser.began(replicas[0].description.id);
-        chooser.began(replicas[1].description.id);
+        chooser.callStarted(replicas[0].description.id);
+        chooser.callStarted(replicas[1].description.id);
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), *chooser.choose(replicas, {}, this->now));
-        chooser.reported(replicas[2].description.id, {6, 4, 6}, this->now);
+        chooser.loadReported(replicas[2].description.id, {6, 4, 6}, this->now);
         CPPUNIT_ASSERT(*chooser.choose(replicas, {}, this->now) != 2);
         this->now += std::chrono::seconds(1); // the report is obsolete
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), *chooser.choose(replicas, {}, this->now));
@@ -94,8 +94,8 @@
         ReplicaChooser chooser(1);
         const std::vector<ReplicaCandidate> replicas = {replica(0), replica(1), replica(2)};
         const auto fail = [&](std::size_t index) {
-            chooser.began(replicas[index].description.id);
-            chooser.ended(replicas[index].description, AttemptHealth::Unreachable, this->now);
+            chooser.callStarted(replicas[index].description.id);
+            chooser.callEnded(replicas[index].description, AttemptOutcome::Unreachable, this->now);
         };
         fail(0);
         for (int call = 0; call < 20; ++call)
--- a/tests/coordination/routing/PassPlacementTest.cpp
+++ b/tests/coordination/routing/PassPlacementTest.cpp
@@ -28,12 +28,12 @@
         state::routes::EngineProfile result;
         result.slots = 16;
         result.kvCapacityTokens = 450'000;
-        result.stridePerPass = 46;
+        result.stepsPerPass = 46;
         result.stepMs = 0.925;
-        result.sequenceStepMs = 0.00483;
-        result.contextStepMs = 0.00254;
+        result.stepMsPerSequence = 0.00483;
+        result.stepMsPerThousandContextTokens = 0.00254;
         result.prefillTokensPerSecond = 256'000;
-        result.pairsMs = 0.0917;
+        result.msPerMillionPairs = 0.0917;
         result.stepTokens = 2'048;
         return result;
     }
@@ -42,11 +42,11 @@
     void addDecodingSummary(EngineView &view, std::uint64_t work) const
     {
         WorkNote note;
-        note.work = work;
+        note.requestHash = work;
         note.promptTokens = note.memoryTokens = 45'000;
         note.outputTokens = 900;
         note.lifetime = std::chrono::seconds(10);
-        note.pause = std::chrono::milliseconds(500);
+        note.toleratedPause = std::chrono::milliseconds(500);
         view.apply(note, this->start);
         note.stage = WorkStage::Decoding;
         view.apply(note, this->start);
@@ -56,11 +56,11 @@
     void addBriefPrefill(EngineView &view, std::uint64_t work, std::uint32_t tokens) const
     {
         WorkNote note;
-        note.work = work;
+        note.requestHash = work;
         note.promptTokens = note.memoryTokens = note.prefillTokens = tokens;
         note.outputTokens = 900;
         note.lifetime = std::chrono::seconds(10);
-        note.pause = std::chrono::milliseconds(200);
+        note.toleratedPause = std::chrono::milliseconds(200);
         view.apply(note, this->start);
     }
 
@@ -68,7 +68,7 @@
                                     const PassPlacementSettings &settings = {}) const
     {
         PassRequest request;
-        request.firstTargetSeconds = firstTargetSeconds;
+        request.firstEventTargetSeconds = firstTargetSeconds;
         request.promptTokens = tokens;
         request.outputTokens = 500;
         request.memoryTokens = tokens + 500;
@@ -144,7 +144,7 @@
         for (std::uint64_t work = 1; work <= 4; ++work) {
             addBriefPrefill(*this->views[0], work, 5'000);
             WorkNote decoding;
-            decoding.work = work;
+            decoding.requestHash = work;
             decoding.stage = WorkStage::Decoding;
             this->views[0]->apply(decoding, this->start);
         }
--- a/tests/coordination/routing/PrefixIndexTest.cpp
+++ b/tests/coordination/routing/PrefixIndexTest.cpp
@@ -37,13 +37,13 @@
     void equalPrefixesGiveEqualHashes()
     {
         const std::string common(4 * 8, 'a');
-        const auto first = chainPrefixBlocks(common + std::string(4 * 8, 'b') + "x", 8);
-        const auto second = chainPrefixBlocks(common + std::string(4 * 8, 'c'), 8);
+        const auto first = hashPrefixBlocks(common + std::string(4 * 8, 'b') + "x", 8);
+        const auto second = hashPrefixBlocks(common + std::string(4 * 8, 'c'), 8);
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), first.size());
         CPPUNIT_ASSERT_EQUAL(first[0], second[0]);
         CPPUNIT_ASSERT(first[1] != second[1]);
         // The same block after another one is a different prefix.
-        CPPUNIT_ASSERT(chainPrefixBlocks(std::string(8 * 8, 'a'), 8)[1] != first[0]);
+        CPPUNIT_ASSERT(hashPrefixBlocks(std::string(8 * 8, 'a'), 8)[1] != first[0]);
     }
 
     void gapMakesEntriesDoubtful()
--- a/tests/platform/CodecFuzzTest.cpp
+++ b/tests/platform/CodecFuzzTest.cpp
@@ -69,7 +69,7 @@
         for (int round = 0; round < rounds; ++round) {
             const auto heartbeat = decodeHeartbeat("i-1", this->mutate(sampleHeartbeat));
             CPPUNIT_ASSERT(!heartbeat || heartbeat.value().description.incarnation > 0);
-            decodeFarewell(this->mutate(sampleHeartbeat));
+            decodeDeregistration(this->mutate(sampleHeartbeat));
         }
     }
 
--- a/tests/platform/ConfigurationCodecTest.cpp
+++ b/tests/platform/ConfigurationCodecTest.cpp
@@ -51,9 +51,9 @@
         CPPUNIT_ASSERT_EQUAL(2U, route.attempts);
         CPPUNIT_ASSERT_EQUAL(90U, route.services.at(0).weight);
         const auto engine = *table.service(state::ServiceName("llm"))->engine;
-        CPPUNIT_ASSERT_EQUAL(46U, engine.stridePerPass);
+        CPPUNIT_ASSERT_EQUAL(46U, engine.stepsPerPass);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(450'000), engine.kvCapacityTokens);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(0.0917, engine.pairsMs, 1e-9);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(0.0917, engine.msPerMillionPairs, 1e-9);
         CPPUNIT_ASSERT(!table.service(state::ServiceName("app"))->engine);
         CPPUNIT_ASSERT_EQUAL(std::string("acme"), table.accountOfKey("key-two")->id.value());
         CPPUNIT_ASSERT(table.limits().idleTimeout == std::chrono::milliseconds(15'000));
--- a/tests/platform/EndpointNewsCodecTest.cpp
+++ b/tests/platform/EndpointNewsCodecTest.cpp
@@ -30,7 +30,7 @@
 public:
     void decodesEveryField()
     {
-        const EndpointNews heartbeat = decodeHeartbeat("i-1", sampleHeartbeat).value();
+        const EndpointHeartbeat heartbeat = decodeHeartbeat("i-1", sampleHeartbeat).value();
         CPPUNIT_ASSERT(!heartbeat.draining);
         CPPUNIT_ASSERT_EQUAL(std::string("i-1"), heartbeat.description.id.value());
         CPPUNIT_ASSERT_EQUAL(std::string("10.128.0.9:8080"),
@@ -49,7 +49,7 @@
         json::object plain = sample();
         plain.erase("Models");
         plain.erase("Stage");
-        const EndpointNews heartbeat = decodeHeartbeat("i-1", json::serialize(plain)).value();
+        const EndpointHeartbeat heartbeat = decodeHeartbeat("i-1", json::serialize(plain)).value();
         CPPUNIT_ASSERT(heartbeat.description.kind == state::EndpointKind::PlainService);
         CPPUNIT_ASSERT(heartbeat.description.models.empty());
     }
@@ -82,9 +82,9 @@
 
     void deregistrationsContainTheIncarnation()
     {
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t(12), *decodeFarewell(R"({"born":12})"));
-        CPPUNIT_ASSERT(!decodeFarewell(""));
-        CPPUNIT_ASSERT(!decodeFarewell(R"({"born":"x"})"));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t(12), *decodeDeregistration(R"({"born":12})"));
+        CPPUNIT_ASSERT(!decodeDeregistration(""));
+        CPPUNIT_ASSERT(!decodeDeregistration(R"({"born":"x"})"));
     }
 };
 
--- a/tests/platform/RelayTest.cpp
+++ b/tests/platform/RelayTest.cpp
@@ -129,8 +129,8 @@
         return made;
     }
 
-    std::atomic<coordination::orders::ViewStanding> standing =
-            coordination::orders::ViewStanding::Confirmed;
+    std::atomic<coordination::orders::ViewStatus> standing =
+            coordination::orders::ViewStatus::Confirmed;
     std::atomic<int> arrivals = 0;
     std::atomic<std::int64_t> closedAtUs = 0; // when an endpoint noticed that its caller had closed
     std::string resumedBehind;                // as sent to the last endpoint
@@ -190,8 +190,8 @@
         scheduler.finished = [](const state::RequestId &, std::uint32_t, bool) {};
         scheduler.cancel = [](const state::RequestId &) {};
         scheduler.noteHealth = [](const state::EndpointDescription &,
-                                  coordination::routing::AttemptHealth) {};
-        scheduler.blame = [](const state::Address &) {};
+                                  coordination::routing::AttemptOutcome) {};
+        scheduler.reportPeerFailure = [](const state::Address &) {};
         return scheduler;
     }
 
@@ -337,7 +337,7 @@
     void outdatedConfigurationIsNotUsed()
     {
         RelayFixture fixture(Kind::Idempotent, {Behaviour::Answers});
-        fixture.standing = coordination::orders::ViewStanding::Outdated;
+        fixture.standing = coordination::orders::ViewStatus::Outdated;
         const auto answer = fixture.call();
         CPPUNIT_ASSERT_EQUAL(503U, answer.value().status);
         CPPUNIT_ASSERT(answer.value().headers.find("Retry-After").has_value());
@@ -349,7 +349,7 @@
     {
         RelayFixture fixture(Kind::Idempotent, {Behaviour::Answers});
         CPPUNIT_ASSERT_EQUAL(404U, fixture.call(requestWithoutRoute()).value().status);
-        fixture.standing = coordination::orders::ViewStanding::Unconfirmed;
+        fixture.standing = coordination::orders::ViewStatus::Unconfirmed;
         CPPUNIT_ASSERT_EQUAL(503U, fixture.call(requestWithoutRoute()).value().status);
         CPPUNIT_ASSERT_EQUAL(200U, fixture.call().value().status);
     }
--- a/tests/platform/RelayWireTest.cpp
+++ b/tests/platform/RelayWireTest.cpp
@@ -61,7 +61,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("h.example"), decoded.host);
         CPPUNIT_ASSERT_EQUAL(std::string("secret-key"), decoded.accountKey);
         CPPUNIT_ASSERT(*decoded.timeLimit == std::chrono::milliseconds(10'000));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t(12), *decoded.resumeBehind);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t(12), *decoded.resumeAfter);
         CPPUNIT_ASSERT_EQUAL(1460U, decoded.promptTokens);
         CPPUNIT_ASSERT_EQUAL(80U, decoded.outputTokens);
     }
@@ -74,7 +74,7 @@
                            {"Token-Count", "1,2,3"},
                            {"Last-Event-Id", ""}};
         const auto decoded = this->codec.decode(request).value();
-        CPPUNIT_ASSERT(!decoded.timeLimit && !decoded.resumeBehind);
+        CPPUNIT_ASSERT(!decoded.timeLimit && !decoded.resumeAfter);
         CPPUNIT_ASSERT_EQUAL(0U, decoded.promptTokens);
         request.headers = {};
         CPPUNIT_ASSERT(!this->codec.decode(request));
@@ -82,7 +82,7 @@
 
     void forwardedHeadersOmitKeyAndSetTerms()
     {
-        program::ForwardTerms terms;
+        program::ForwardParameters terms;
         terms.timeLeft = std::chrono::milliseconds(9'500);
         terms.endpoint = state::EndpointId("i-7");
         terms.account = state::ClientAccountId("acme");
--- a/tests/program/ControlMemberTest.cpp
+++ b/tests/program/ControlMemberTest.cpp
@@ -308,7 +308,7 @@
     // stale.
     void readSeesAll(const Cluster &cluster) const
     {
-        for (const ReadKind kind : {ReadKind::Lease, ReadKind::Round}) {
+        for (const ReadKind kind : {ReadKind::Lease, ReadKind::QuorumRound}) {
             bool confirmed = false;
             for (int attempt = 0; !confirmed && attempt < 1000; ++attempt) {
                 auto promise = std::make_shared<std::promise<ReadAnswer>>();
--- a/tests/program/TableCommandsTest.cpp
+++ b/tests/program/TableCommandsTest.cpp
@@ -45,8 +45,8 @@
         control::ControlState state;
         submit(state, "ana", control::PutAccount{{acme, "Acme", "", 0}, 0});
         const table::Table fetched = state.view().table;
-        const auto first = planSet(fetched, review, {"weight=5", "priority=2"}).value();
-        const auto second = planSet(fetched, review, {"weight=9"}).value();
+        const auto first = planRowEdit(fetched, review, {"weight=5", "priority=2"}).value();
+        const auto second = planRowEdit(fetched, review, {"weight=9"}).value();
         CPPUNIT_ASSERT_EQUAL(0, describeAnswer(submit(state, "ana", first), false).exitCode);
         const TableReply lost = describeAnswer(submit(state, "bob", second), true);
         CPPUNIT_ASSERT(lost.exitCode != 0);
@@ -64,9 +64,9 @@
         const std::vector<std::vector<std::string>> cases{
                 {}, {"weight"}, {"weight=0"}, {"colour=1"}, {"weight=1", "priority=11"}};
         for (const auto &assignments : cases)
-            CPPUNIT_ASSERT(planSet(table::Table(), review, assignments).has_error());
+            CPPUNIT_ASSERT(planRowEdit(table::Table(), review, assignments).has_error());
         const TableKey bad{state::ClientAccountId("a b"), state::WorkClass("review")};
-        CPPUNIT_ASSERT(planSet(table::Table(), bad, {"weight=1"}).has_error());
+        CPPUNIT_ASSERT(planRowEdit(table::Table(), bad, {"weight=1"}).has_error());
         CPPUNIT_ASSERT(tableFormatOf("table.txt").has_error());
     }
 
--- a/tests/protocol/ConsensusMessagesTest.cpp
+++ b/tests/protocol/ConsensusMessagesTest.cpp
@@ -18,7 +18,7 @@
 using coordination::consensus::AppendRequest;
 using coordination::consensus::AppendResponse;
 using coordination::consensus::Message;
-using coordination::consensus::SnapshotPiece;
+using coordination::consensus::SnapshotChunk;
 using coordination::consensus::SnapshotResponse;
 using coordination::consensus::VoteRequest;
 using coordination::consensus::VoteResponse;
@@ -43,7 +43,7 @@
                 {from, to, VoteResponse{7, false, true}},
                 {from, to, append},
                 {from, to, AppendResponse{7, true, 42, -5}},
-                {from, to, SnapshotPiece{7, {6, 30}, "voter a 1.1.1.1:1\n", 10, 4, "abc", 9}},
+                {from, to, SnapshotChunk{7, {6, 30}, "voter a 1.1.1.1:1\n", 10, 4, "abc", 9}},
                 {from, to, SnapshotResponse{7, {6, 30}, 7, false, 9}}};
     }
 
@@ -70,7 +70,7 @@
         Message longName = good;
         longName.to = state::VmId(std::string(129, 'v'));
         Message beyond = samples()[4];
-        std::get<SnapshotPiece>(beyond.body).offset = 8;
+        std::get<SnapshotChunk>(beyond.body).offset = 8;
         for (const Message &bad : {gap, newer, kind, nameless, longName, beyond}) {
             const auto refused = decodeConsensusFrame(encode(ConsensusFrame{{}, bad}));
             CPPUNIT_ASSERT(refused.has_error());
--- a/tests/protocol/FeedEncoderTest.cpp
+++ b/tests/protocol/FeedEncoderTest.cpp
@@ -65,7 +65,7 @@
         const std::string before = documentOf(3, 5'000, 90);
         const std::string after = documentOf(4, 5'000, 10);
         accept(state, 10, 3, before);
-        encoder.note(state.view());
+        encoder.recordView(state.view());
         accept(state, 11, 4, after);
         const FeedContent &content = encoder.contentFor(state, {10, 3});
         CPPUNIT_ASSERT(contentBytes(content) < after.size() / 100);
@@ -91,7 +91,7 @@
         FeedEncoder encoder;
         for (std::uint64_t version = 1; version <= 40; ++version) {
             accept(state, 10 + version, version, documentOf(version, 500, 90));
-            encoder.note(state.view());
+            encoder.recordView(state.view());
         }
         const FeedContent &content = encoder.contentFor(state, {11, 1});
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), content.configuration->base);
@@ -105,7 +105,7 @@
         control::ControlState state;
         FeedEncoder encoder;
         accept(state, 10, 3, documentOf(3, 500, 90));
-        encoder.note(state.view());
+        encoder.recordView(state.view());
         accept(state, 11, 4, documentOf(4, 500, 10));
         const FeedContent &content = encoder.contentFor(state, {10, 3});
         const auto other = decodeFeedContent(content, {2, documentOf(2, 500, 90)});
--- a/tests/protocol/HostileInputTest.cpp
+++ b/tests/protocol/HostileInputTest.cpp
@@ -78,11 +78,11 @@
     message.from = state::VmId("entry-1");
     message.incarnation = 3;
     message.forIncarnation = 9;
-    message.hello = true;
-    message.statement = true;
+    message.requestsStatement = true;
+    message.isStatement = true;
     message.holdings.push_back({1, Dimension::InFlight, 5, 7'000});
-    message.asks.push_back({2, Dimension::TokenRate, 8, 900, 10'000});
-    message.asks.push_back({1, Dimension::InFlight, 9, 4, 10'000});
+    message.loanRequests.push_back({2, Dimension::TokenRate, 8, 900, 10'000});
+    message.loanRequests.push_back({1, Dimension::InFlight, 9, 4, 10'000});
     message.grants.push_back({1, Dimension::InFlight, 1, 4, 2, 10'000, true});
     return message;
 }
@@ -124,7 +124,8 @@
         node.setRow(row, now);
         const QuotaKey key = quotaKeyOf(row.key);
         QuotaMessage good = quotaMessage();
-        good.asks[0].key = good.asks[1].key = good.grants[0].key = good.holdings[0].key = key;
+        good.loanRequests[0].key = good.loanRequests[1].key = good.grants[0].key =
+                good.holdings[0].key = key;
         int read = 0;
         forEachCorruption(encode(good), 1, [&](const std::string &bytes) {
             const auto message = decode<QuotaMessage>(bytes);
--- a/tests/protocol/PeerNewsTest.cpp
+++ b/tests/protocol/PeerUpdateTest.cpp
@@ -1,5 +1,5 @@
 // Tests the datagrams in which entries send each other updates about work in progress.
-#include "protocol/PeerNews.h"
+#include "protocol/PeerUpdate.h"
 
 #include <cppunit/TestFixture.h>
 #include <cppunit/extensions/HelperMacros.h>
@@ -23,7 +23,7 @@
     static WorkNote dispatched(std::size_t helpers)
     {
         WorkNote note;
-        note.work = 0x1122334455667788;
+        note.requestHash = 0x1122334455667788;
         note.engine = EngineKey::of(state::EndpointId("i-96890990b2"));
         note.hasHelpers = helpers > 0;
         note.key = {state::ClientAccountId("account-10042"), state::WorkClass("review")};
@@ -34,7 +34,7 @@
         note.chargedTokens = 589'000;
         note.priority = 5;
         note.lifetime = std::chrono::seconds(15);
-        note.pause = std::chrono::milliseconds(800);
+        note.toleratedPause = std::chrono::milliseconds(800);
         for (std::size_t index = 0; index < helpers; ++index) {
             const state::EndpointId helper("i-" + std::to_string(index));
             note.helpers.push_back(EngineKey::of(helper));
@@ -46,9 +46,9 @@
 
     WorkNote roundTrip(const WorkNote &note) const
     {
-        const auto datagrams = sealPeerNews(this->keys, {note});
+        const auto datagrams = sealPeerUpdates(this->keys, {note});
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), datagrams.size());
-        const auto updates = unsealPeerNews(this->keys, datagrams.front());
+        const auto updates = unsealPeerUpdates(this->keys, datagrams.front());
         CPPUNIT_ASSERT(updates.has_value());
         return std::get<WorkNote>(updates.value().front());
     }
@@ -61,16 +61,16 @@
         for (const WorkStage stage : {WorkStage::Decoding, WorkStage::Ended}) {
             WorkNote later;
             later.stage = stage;
-            later.work = 7;
+            later.requestHash = 7;
             later.engine = EngineKey::of(state::EndpointId("i-1"));
             later.hasHelpers = true;
             CPPUNIT_ASSERT(roundTrip(later) == later);
         }
         WorkNote waiting;
         waiting.stage = WorkStage::Waiting;
-        waiting.work = 8;
+        waiting.requestHash = 8;
         waiting.age = std::chrono::milliseconds(1'250);
-        waiting.engineTime = std::chrono::seconds(22);
+        waiting.prefillTime = std::chrono::seconds(22);
         CPPUNIT_ASSERT(roundTrip(waiting) == waiting);
     }
 
@@ -80,14 +80,14 @@
         // 14 Mbit/s link holds 30,000 bytes. With ids instead of keys, each note took 480 bytes.
         constexpr std::size_t headers = 28;
         const std::size_t maxBytes = 30'000 / 116 - headers;
-        CPPUNIT_ASSERT(sealPeerNews(this->keys, {dispatched(16)}).front().size() <= maxBytes);
+        CPPUNIT_ASSERT(sealPeerUpdates(this->keys, {dispatched(16)}).front().size() <= maxBytes);
     }
 
     void updatesInAnotherFormatAreRejected()
     {
         // During a rollout, nodes of the previous version send notes with another layout.
         const std::string sealed = seal(this->keys, "peer-news", "anything");
-        CPPUNIT_ASSERT(unsealPeerNews(this->keys, sealed).has_error());
+        CPPUNIT_ASSERT(unsealPeerUpdates(this->keys, sealed).has_error());
     }
 };
 
