--- a/src/coordination/admission/Events.h
+++ b/src/coordination/admission/Events.h
@@ -198,8 +198,8 @@
     std::vector<state::EndpointId> helpers; // each prefills as much of the prompt as the engine
     std::vector<std::string> helperLeases;  // memory reserved at the first helpers, in order
     state::Duration predictedFirstEvent{0}; // from now to the first event; 0: not predicted
-    routing::PlacementSnapshot
-            placementSnapshot; // basis of the decision, on engines that work in passes
+    // Basis of the decision, on engines that work in passes.
+    routing::PlacementSnapshot placementSnapshot;
 };
 
 // The final answer to a request that did not complete. No further action follows for its caller.
@@ -211,8 +211,8 @@
     Ran ran = Ran::No;
     state::Duration predictedFirstEvent{0}; // from now to the first event; 0: not predicted
     double queuedSeconds = 0; // engine time of the prompts that wait at the entries and go first
-    routing::PlacementSnapshot
-            placementSnapshot; // basis of the decision, on engines that work in passes
+    // Basis of the decision, on engines that work in passes.
+    routing::PlacementSnapshot placementSnapshot;
 };
 
 // The final answer to a request whose deadline has passed.
--- a/src/coordination/admission/LongPromptQueue.h
+++ b/src/coordination/admission/LongPromptQueue.h
@@ -71,9 +71,10 @@
     void dropExpired(state::Instant now);
 
     LongPromptQueueSettings settings;
-    std::map<Rank, Entry> byRank;                    // own and peers' prompts
-    std::map<std::uint64_t, Rank> rankByRequestHash; // by work id; the same prompts as in `byRank`
-    std::map<std::uint64_t, state::RequestId> ownRequestIds; // by work id; own prompts only
+    std::map<Rank, Entry> byRank; // own and peers' prompts
+    std::map<std::uint64_t, Rank>
+            rankByRequestHash; // by request hash; the same prompts as in `byRank`
+    std::map<std::uint64_t, state::RequestId> ownRequestIds; // by request hash; own prompts only
 };
 
 } // namespace lavenderthread::coordination::admission
--- a/src/coordination/admission/RetryBudget.h
+++ b/src/coordination/admission/RetryBudget.h
@@ -36,7 +36,7 @@
 private:
     double perSuccess;
     double capacity;
-    double available; // between 0 and burst
+    double available; // between 0 and capacity
 };
 
 } // namespace lavenderthread::coordination::admission
--- a/src/coordination/consensus/Election.cpp
+++ b/src/coordination/consensus/Election.cpp
@@ -85,8 +85,8 @@
     this->leader = newLeader;
     this->established = false;
     this->progress.clear();
-    this->incomingSnapshot
-            .reset(); // another leader's snapshot at the same position may differ in bytes
+    // Another leader's snapshot at the same position may differ in bytes.
+    this->incomingSnapshot.reset();
 }
 
 void Consensus::becomeLeader()
--- a/src/coordination/directory/Directory.cpp
+++ b/src/coordination/directory/Directory.cpp
@@ -1,4 +1,4 @@
-// Selects the entry nodes of a client account and orders them for one caller.
+// Selects the entries of a client account and orders them for one caller.
 #include "coordination/directory/Directory.h"
 
 #include "coordination/ownership/OwnerRing.h"
@@ -14,7 +14,7 @@
 
 constexpr std::uint32_t wholeShareMilli = 1'000;
 // Costs in steps of a member's reported load. Another failure domain adds only half a millisecond,
-// so it costs little; another region costs as much as a loaded entry node nearby.
+// so it costs little; another region costs as much as a loaded entry nearby.
 constexpr unsigned otherDomainCost = 1;
 constexpr unsigned otherRegionCost = 8;
 
@@ -25,7 +25,7 @@
 }
 
 // Replaces the last pick if all picks share one failure domain, since a failure of that domain
-// would take all of the caller's entry nodes at once.
+// would take all of the caller's entries at once.
 void spreadOverDomains(std::vector<const MemberEntry *> &picked,
                        const std::vector<const MemberEntry *> &ranked)
 {
--- a/src/coordination/directory/Directory.h
+++ b/src/coordination/directory/Directory.h
@@ -1,4 +1,4 @@
-// Directory of entry nodes: tells a caller which addresses to connect to.
+// Directory of entries: tells a caller which addresses to connect to.
 #pragma once
 
 #include "coordination/membership/MemberTable.h"
@@ -13,7 +13,7 @@
     state::Duration timeToLive = std::chrono::seconds(10); // for which a caller keeps an answer
     std::size_t minimumEntries = 3; // one or two may fail while a caller holds its answer
     std::size_t maximumEntries = 16;
-    // An account gets entry nodes for this many times its share of the work of all entry nodes.
+    // An account gets entries for this many times its share of the work of all entries.
     double headroom = 1.5;
 };
 
@@ -24,7 +24,7 @@
     state::FailureDomain callerFailureDomain; // empty if unknown
     std::uint64_t callerHash = 0;             // distributes the callers of one account
     // Members known to admit requests under an older version of the operators' table are left out.
-    // Set to the version that this entry node held longer ago than a change takes to reach all.
+    // Set to the version that this entry held longer ago than a change takes to reach all.
     std::uint64_t requiredTableVersion = 0;
 };
 
@@ -36,7 +36,7 @@
     bool operator==(const DirectoryAnswer &) const = default;
 };
 
-// Selects and orders the entry nodes for a caller. Immutable.
+// Selects and orders the entries for a caller. Immutable.
 class Directory
 {
 public:
@@ -44,7 +44,7 @@
     static state::Result<Directory> create(const DirectorySettings &settings);
 
     // Returns no addresses if no member is eligible. Rendezvous hashing selects the members: an
-    // account keeps its entry nodes while they are eligible, and only one that becomes ineligible
+    // account keeps its entries while they are eligible, and only one that becomes ineligible
     // is replaced.
     DirectoryAnswer answer(const DirectoryRequest &request,
                            const membership::MemberTable &members) const;
--- a/src/coordination/directory/EntryShutdown.h
+++ b/src/coordination/directory/EntryShutdown.h
@@ -1,4 +1,4 @@
-// Graceful shutdown of an entry node: callers that hold a directory answer with its address are
+// Graceful shutdown of an entry: callers that hold a directory answer with its address are
 // served until that answer expires, and no request in flight is aborted.
 #pragma once
 
@@ -20,7 +20,7 @@
 class EntryShutdown
 {
 public:
-    // `propagationTime`: until every other entry node has stopped listing this one. `timeToLive`:
+    // `propagationTime`: until every other entry has stopped listing this one. `timeToLive`:
     // of directory answers.
     EntryShutdown(state::Duration propagationTime, state::Duration timeToLive)
         : acceptDuration(propagationTime + timeToLive)
@@ -31,7 +31,7 @@
     ShutdownStage stage() const { return this->currentStage; }
 
 private:
-    // The last answer that lists this entry node is made just before the update arrives, so
+    // The last answer that lists this entry is made just before the update arrives, so
     // accepting for propagation time plus time to live serves every holder of an answer.
     state::Duration acceptDuration;
     state::Instant beganAt;
--- a/src/coordination/endpoints/EndpointLifecycle.cpp
+++ b/src/coordination/endpoints/EndpointLifecycle.cpp
@@ -176,7 +176,7 @@
 {
     if (known.phase == EndpointPhase::Expired || !isLiveMember(known.home, context.members))
         return true;
-    // If two entry nodes both receive every renewal, only the one with the lower id may take the
+    // If two entries both receive every renewal, only the one with the lower id may take the
     // role over; otherwise they would take it from each other forever.
     const Renewal &renewal = this->renewals.at(known.id);
     return this->self < known.home && now - renewal.unbrokenSince >= this->settings.renewAfter;
@@ -200,8 +200,8 @@
     return nextVersion(known, phase, this->self);
 }
 
-// The owner expires an endpoint whose home entry node is dead, but only after the endpoint had time
-// to announce itself to another entry node.
+// The owner expires an endpoint whose home entry is dead, but only after the endpoint had time
+// to announce itself to another entry.
 bool EndpointLifecycle::shouldExpireOrphan(const EndpointRecord &known,
                                            const EndpointContext &context, state::Instant now) const
 {
--- a/src/coordination/endpoints/EndpointLifecycle.h
+++ b/src/coordination/endpoints/EndpointLifecycle.h
@@ -1,5 +1,5 @@
-// Endpoint lifecycle on one entry node: accepts announcements, renewals and deregistrations,
-// expires endpoints, keeps their drain marks, and looks after endpoints whose home entry node died.
+// Endpoint lifecycle on one entry: accepts announcements, renewals and deregistrations,
+// expires endpoints, keeps their drain marks, and looks after endpoints whose home entry died.
 // Produces the records to publish.
 #pragma once
 
@@ -22,7 +22,7 @@
     FlapDampingSettings damping;
 };
 
-// State of this entry node that lifecycle decisions read.
+// State of this entry that lifecycle decisions read.
 struct EndpointContext
 {
     const EndpointTable &table;
@@ -30,9 +30,9 @@
     const ownership::OwnerRing &ring;
 };
 
-// Each record names a home entry node, which alone expires the record when renewals stop. Every
-// entry node that receives announcements keeps its own lease and takes over the home role when the
-// home is gone. If an endpoint announces itself to two entry nodes, the one with the lower id
+// Each record names a home entry, which alone expires the record when renewals stop. Every
+// entry that receives announcements keeps its own lease and takes over the home role when the
+// home is gone. If an endpoint announces itself to two entries, the one with the lower id
 // becomes its home.
 class EndpointLifecycle
 {
@@ -54,7 +54,7 @@
                                                        const EndpointContext &context);
     // Returns the records to publish after time passed or records changed; call once per second.
     std::vector<EndpointRecord> tick(const EndpointContext &context, state::Instant now);
-    // Whether this entry node holds a lease of that incarnation and so accepts its load reports.
+    // Whether this entry holds a lease of that incarnation and so accepts its load reports.
     bool isAnnouncedHere(const state::EndpointId &endpoint, std::uint64_t incarnation) const;
     const EndpointLifecycleSettings &currentSettings() const { return this->settings; }
 
--- a/src/coordination/endpoints/EndpointRecord.cpp
+++ b/src/coordination/endpoints/EndpointRecord.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t fixedDescriptionBytes = 32;
 
 // Left is compared before the version. An endpoint whose acknowledgements are lost announces itself
-// to several entry nodes. One that has not yet received the deregistration can produce a later
+// to several entries. One that has not yet received the deregistration can produce a later
 // version with phase Live; if that version won, callers would be sent to the leaving endpoint until
 // it deregisters again.
 auto lifecycleOrder(const EndpointRecord &record)
--- a/src/coordination/endpoints/EndpointRecord.h
+++ b/src/coordination/endpoints/EndpointRecord.h
@@ -1,5 +1,5 @@
 // The replicated record of one endpoint. Each part of a record is merged monotonically, so that all
-// entry nodes converge to the same record even if updates arrive late, duplicated or out of order.
+// entries converge to the same record even if updates arrive late, duplicated or out of order.
 #pragma once
 
 #include "state/Endpoint.h"
@@ -54,7 +54,7 @@
     std::uint32_t version = 0;            // incremented with each change of the lifecycle part
     std::uint32_t descriptionVersion = 0; // `version` when the description last changed
     EndpointPhase phase = EndpointPhase::Expired;
-    state::VmId home; // the entry node that receives its renewals
+    state::VmId home; // the entry that receives its renewals
     DrainMark drain;
     // Null in the short form, which carries only a change of phase, home or drain mark. Shared, so
     // that all published views hold the same copy.
@@ -79,7 +79,7 @@
 };
 
 // A short-form `update` is applied only to the description version that it was made from; otherwise
-// an entry node could keep the newest version with an outdated list of models forever. Left is
+// an entry could keep the newest version with an outdated list of models forever. Left is
 // applied to any description, also to that of an earlier incarnation: the description of an
 // endpoint that left is never read, and the announcement of that incarnation may still be in
 // transit.
--- a/src/coordination/endpoints/EndpointTable.h
+++ b/src/coordination/endpoints/EndpointTable.h
@@ -1,4 +1,4 @@
-// All endpoint records that one entry node knows. Records of endpoints that left or expired are
+// All endpoint records that one entry knows. Records of endpoints that left or expired are
 // kept until forget() drops them.
 #pragma once
 
@@ -23,7 +23,7 @@
 {
 public:
     // Merges `update` into the table. For an unknown endpoint, an expired record and a short form
-    // are ignored unless they are a deregistration or carry a drain mark: entry nodes forget ended
+    // are ignored unless they are a deregistration or carry a drain mark: entries forget ended
     // records at different times and would send them to each other forever.
     MergeResult apply(const EndpointRecord &update, state::Instant now);
     // Drops records that have been Left or Expired for longer than `retention` and are not drained.
--- a/src/coordination/endpoints/FlapDamping.h
+++ b/src/coordination/endpoints/FlapDamping.h
@@ -13,8 +13,8 @@
 struct FlapDampingSettings
 {
     double holdThreshold = 4; // restarts, each weighted by its age
-    double releaseThreshold =
-            2; // below holdThreshold: hysteresis, so that the decision does not flap
+    // Below holdThreshold: hysteresis, so that the decision does not flap.
+    double releaseThreshold = 2;
     state::Duration halfLife = std::chrono::seconds(60);
 };
 
--- a/src/coordination/endpoints/MemoryAudit.cpp
+++ b/src/coordination/endpoints/MemoryAudit.cpp
@@ -167,7 +167,7 @@
             lease != owned.leases.end() ? lease->second.holder : leaseCreator(item.lease);
     const bool isDenied = candidate.deniedBy && candidate.deniedBy == holder;
     // The live holder named by the item is assumed to use it until it denies that: its renewals may
-    // go to another entry node that it takes for the owner. A missing answer frees nothing.
+    // go to another entry that it takes for the owner. A missing answer frees nothing.
     const bool mayFree = graceElapsed && (status != LeaseStatus::HolderAlive || isDenied);
     if (mayFree) {
         if (isDue(candidate.freeOrderedAt, this->settings.freeRetryInterval)) {
--- a/src/coordination/endpoints/MemoryAudit.h
+++ b/src/coordination/endpoints/MemoryAudit.h
@@ -1,4 +1,4 @@
-// Memory audit of the engines that this entry node owns. Every reservation, export and stream that
+// Memory audit of the engines that this entry owns. Every reservation, export and stream that
 // an engine holds must belong to a lease with a live holder; memory without one is freed.
 #pragma once
 
@@ -25,7 +25,7 @@
     bool operator==(const HeldItem &) const = default;
 };
 
-// The entry node process that uses the memory.
+// The entry process that uses the memory.
 struct LeaseHolder
 {
     state::VmId vm;
@@ -54,7 +54,7 @@
 struct MemoryAuditSettings
 {
     // Time from the first sight of a lease without a live holder until its memory is freed. Longer
-    // than the time for which an entry node that has not noticed its isolation still admits
+    // than the time for which an entry that has not noticed its isolation still admits
     // requests, and longer than two renewal intervals of a lease.
     state::Duration orphanGrace = std::chrono::seconds(12);
     // Delay before the first query, so that short streams end without one. The rest of orphanGrace
@@ -72,12 +72,12 @@
     bool operator==(const AuditFree &) const = default;
 };
 
-// Query whether an entry node holds this lease. The answer is passed to grant() or holderDenied().
+// Query whether an entry holds this lease. The answer is passed to grant() or holderDenied().
 struct AuditQuery
 {
     state::EndpointId endpoint;
     std::string lease;
-    std::optional<state::VmId> holder; // empty: query all live entry nodes; any may have adopted it
+    std::optional<state::VmId> holder; // empty: query all live entries; any may have adopted it
 
     bool operator==(const AuditQuery &) const = default;
 };
@@ -111,7 +111,7 @@
                       const LeaseHolder &holder);
 
     // Audits the engine's list of held memory and returns what to free and query. `isolated`: this
-    // entry node currently hears no other one, so it cannot hear from holders and frees nothing.
+    // entry currently hears no other one, so it cannot hear from holders and frees nothing.
     AuditActions auditHeldMemory(const state::EndpointId &endpoint,
                                  const std::vector<HeldItem> &items,
                                  const membership::MemberTable &members, bool isolated,
@@ -132,8 +132,8 @@
     struct OwnedEndpoint
     {
         std::map<std::string, MemoryLease> leases;
-        std::map<std::string, OrphanCandidate>
-                orphanCandidates; // by lease name; held items without a live lease
+        // By lease name; held items without a live lease.
+        std::map<std::string, OrphanCandidate> orphanCandidates;
     };
     // Whether a live lease covers an item and, if not, why; this decides when it may be freed.
     enum class LeaseStatus : std::uint8_t {
--- a/src/coordination/ownership/OwnedEndpoints.cpp
+++ b/src/coordination/ownership/OwnedEndpoints.cpp
@@ -1,4 +1,4 @@
-// Compares the owner ring with the endpoints that this entry node owned before.
+// Compares the owner ring with the endpoints that this entry owned before.
 #include "coordination/ownership/OwnedEndpoints.h"
 
 namespace lavenderthread::coordination::ownership {
--- a/src/coordination/ownership/OwnedEndpoints.h
+++ b/src/coordination/ownership/OwnedEndpoints.h
@@ -1,4 +1,4 @@
-// Tracks which endpoints this entry node owns as ownership moves between entry nodes.
+// Tracks which endpoints this entry owns as ownership moves between entries.
 #pragma once
 
 #include "coordination/endpoints/EndpointTable.h"
--- a/src/coordination/ownership/OwnerRing.cpp
+++ b/src/coordination/ownership/OwnerRing.cpp
@@ -75,7 +75,7 @@
     const auto position = static_cast<std::size_t>(lower - this->rankedMembers.begin());
     const std::size_t desired = (watchedReplicas * members + replicas - 1) / replicas;
     const std::size_t count = std::min(std::max<std::size_t>(desired, 1), members - 1);
-    // Powers of two come first: if all watchers were direct neighbours, adjacent entry nodes on the
+    // Powers of two come first: if all watchers were direct neighbours, adjacent entries on the
     // ring would all send their work to the same few replicas.
     std::vector<std::size_t> distances;
     for (std::size_t distance = 1; distance < members; distance *= 2)
--- a/src/coordination/ownership/OwnerRing.h
+++ b/src/coordination/ownership/OwnerRing.h
@@ -1,4 +1,4 @@
-// Rendezvous hashing over the members that may own endpoints or accounts: entry nodes that know the
+// Rendezvous hashing over the members that may own endpoints or accounts: entries that know the
 // same members compute the same owner, and a member that joins or leaves moves only its own share.
 #pragma once
 
@@ -10,7 +10,7 @@
 
 namespace lavenderthread::coordination::ownership {
 
-// Approximate number of replicas whose load an entry node watches: all of them in today's clusters,
+// Approximate number of replicas whose load an entry watches: all of them in today's clusters,
 // 32 of 1,800 at the planned size (docs/design/membership.md). Loads of others are not sent to it.
 constexpr std::size_t watchedReplicas = 32;
 
@@ -25,7 +25,7 @@
 };
 
 // The members that serve and are not dead. Suspect members stay in, so that a lost probe moves no
-// ownership. Ownership is not exclusive: two entry nodes may disagree about an owner while a
+// ownership. Ownership is not exclusive: two entries may disagree about an owner while a
 // membership update spreads. Immutable.
 class OwnerRing
 {
@@ -39,8 +39,8 @@
                               const state::FailureDomain &failureDomain) const;
     state::VmId quotaBroker(const state::ClientAccountId &account) const;
 
-    // The entry nodes to which `home` sends the loads of the endpoints announced to it. Members are
-    // ordered on a ring by hash and the same distances apply to all, so that every entry node
+    // The entries to which `home` sends the loads of the endpoints announced to it. Members are
+    // ordered on a ring by hash and the same distances apply to all, so that every entry
     // watches the same number of homes and every home has the same number of watchers.
     std::vector<state::VmId> watchersOf(const state::VmId &home, std::size_t replicas) const;
 
--- a/src/coordination/relay/EventSplitter.h
+++ b/src/coordination/relay/EventSplitter.h
@@ -31,8 +31,8 @@
     bool isNew(std::string_view event);
 
     std::string buffer;
-    std::optional<std::uint64_t>
-            lastEventId; // highest event id that the caller has; never decreases
+    // Highest event id that the caller has; never decreases.
+    std::optional<std::uint64_t> lastEventId;
     std::uint64_t passedEventCount = 0;
 };
 
--- a/src/coordination/routing/EngineView.h
+++ b/src/coordination/routing/EngineView.h
@@ -28,8 +28,8 @@
     std::uint32_t memoryTokens = 0;
     bool decoding = false;
     state::Instant expires;
-    double toleratedPauseSeconds =
-            0; // longest gap between two events that the caller tolerates; 0: unknown
+    // Longest gap between two events that the caller tolerates; 0: unknown.
+    double toleratedPauseSeconds = 0;
     bool isHelperWork = false; // this engine prefills only a part of the prompt, for another engine
 };
 
@@ -90,8 +90,8 @@
     double decodeSlowdownDuringPrefill;
 
     std::vector<ResidentWork> work; // ordered by priority, then by arrival
-    double unattributedPrefillTokens =
-            0; // tokens reported beyond the known work; decreases with time
+    // Tokens reported beyond the known work; decreases with time.
+    double unattributedPrefillTokens = 0;
     std::uint64_t reportedMemory = 0;
     std::uint32_t reportedRequests = 0;
     std::uint32_t dispatchedSinceReport = 0;
--- a/src/coordination/routing/Fleet.h
+++ b/src/coordination/routing/Fleet.h
@@ -76,7 +76,7 @@
                                           state::Instant now);
     // Returns whether the prompt is long for the model's engines; false if none declares a profile.
     bool isLong(const state::ModelName &model, std::uint32_t promptTokens) const;
-    // Records the pause between two events that a caller of the model accepts. It expires if no
+    // Records the pause between two events that a caller of the model tolerates. It expires if no
     // caller requests it for a while; otherwise one misconfigured route would set the limit for
     // ever.
     void notePause(const state::ModelName &model, state::Duration pause, state::Instant now);
@@ -90,7 +90,7 @@
     // Returns how many engines of the model, the first in the fleet-wide order, take longer
     // prompts. The others take short ones.
     std::size_t longEngineCount(const state::ModelName &model) const;
-    // Returns the watched engines that ranges of spans may use: those for longer prompts.
+    // Returns the watched engines that parts of spans may use: those for longer prompts.
     std::vector<state::EndpointId> spanEngines(const state::ModelName &model) const;
 
     // Returns the total of the watched engines, in tokens per second.
@@ -114,7 +114,7 @@
         state::Instant updatedAt;
     };
 
-    // The pauses that callers of one model accept.
+    // The pauses that callers of one model tolerate.
     struct ToleratedPauses
     {
         // Time of the last request for each pause; at most one pause per route.
--- a/src/coordination/routing/LongPlacement.cpp
+++ b/src/coordination/routing/LongPlacement.cpp
@@ -141,16 +141,16 @@
     std::ranges::stable_sort(helpers, {}, position); // all others share the last position
 }
 
-// Returns whether a part fits the pauses that the callers decoding there accept. It is prefilled in
-// one pass with what waits there already; a longer pass would delay all their answers for one
+// Returns whether a part fits the pauses that the callers decoding there tolerate. It is prefilled
+// in one pass with what waits there already; a longer pass would delay all their answers for one
 // prompt.
 bool fitsPauses(const PassCandidate &candidate, double partSeconds)
 {
-    return candidate.waitingSeconds * candidate.prefillSpeed + partSeconds
+    return candidate.waitingSeconds * candidate.prefillTimeShare + partSeconds
            <= candidate.prefillBudgetSeconds;
 }
 
-// Returns the first `count` helpers whose callers accept a part of that length, or fewer if there
+// Returns the first `count` helpers whose callers tolerate a part of that length, or fewer if there
 // are no more. The first `requiredHelpers` can't be replaced: if one of them doesn't fit, the
 // result is empty.
 std::vector<Helper> fittingHelpers(const std::vector<Helper> &helpers, std::size_t requiredHelpers,
--- a/src/coordination/routing/PassCandidate.cpp
+++ b/src/coordination/routing/PassCandidate.cpp
@@ -12,8 +12,8 @@
     PassCandidate candidate;
     candidate.view = &view;
     candidate.usable = !view.suspected;
-    candidate.prefillSpeed = view.prefillTimeShare();
-    candidate.waitingSeconds = view.prefillSecondsLeft() / candidate.prefillSpeed;
+    candidate.prefillTimeShare = view.prefillTimeShare();
+    candidate.waitingSeconds = view.prefillSecondsLeft() / candidate.prefillTimeShare;
     for (const ResidentWork &resident : view.residentWork()) {
         if (resident.isHelperWork) {
             candidate.helperParts += resident.decoding ? 0 : 1;
@@ -85,7 +85,7 @@
     const state::routes::EngineProfile &profile = answering.profile();
     choice.engine = answering.view->description().id;
     choice.waitingSeconds = waiting;
-    choice.firstEventSeconds = waiting + choice.partSeconds / answering.prefillSpeed
+    choice.firstEventSeconds = waiting + choice.partSeconds / answering.prefillTimeShare
                                + firstEventPassSeconds(answering, request);
     const double events = std::ceil(request.outputTokens / profile.stepsPerPass);
     choice.completionSeconds =
--- a/src/coordination/routing/PassCandidate.h
+++ b/src/coordination/routing/PassCandidate.h
@@ -10,7 +10,7 @@
 struct PassCandidate
 {
     const EngineView *view = nullptr;
-    double prefillSpeed = 1;          // engine seconds of prefill per second, beside its decoding
+    double prefillTimeShare = 1;      // engine seconds of prefill per second, beside its decoding
     double waitingSeconds = 0;        // seconds until the waiting prefill is done
     double ownWaitingSeconds = 0;     // engine seconds of it for requests that this engine answers
     double contextTokens = 0;         // prompt tokens of the requests that it answers
@@ -20,7 +20,7 @@
     std::size_t helperParts = 0;      // parts for other engines whose prompt has no first token yet
     std::size_t pendingRequests = 0;  // requests that it answers and that have no first token yet
     // Seconds of prefill that one pass may contain before a caller whose answer is decoded here
-    // sees a longer pause than it accepts. Callers with tight pauses are not counted.
+    // sees a longer pause than it tolerates. Callers with tight pauses are not counted.
     double prefillBudgetSeconds = std::numeric_limits<double>::max();
     bool usable = false;
 
--- a/src/coordination/routing/PassPlacement.h
+++ b/src/coordination/routing/PassPlacement.h
@@ -4,8 +4,8 @@
 // A decoding engine returns its next tokens only after the whole pass, with all prefill in it, is
 // done, and admits new prefill only when the next pass begins. The engines of a model are therefore
 // kept in an order that all entries share, and are divided into three groups. The first group
-// answers brief requests, whose prefill is short compared with the pauses that callers accept. The
-// last group answers long requests. The engines in between decode nothing and prefill parts of
+// answers brief requests, whose prefill is short compared with the pauses that callers tolerate.
+// The last group answers long requests. The engines in between decode nothing and prefill parts of
 // long prompts together, one prompt after the other. The group borders follow from the requests in
 // progress and the long prefill of the last second or two. No coordinator sets them: all entries
 // receive the same work notes.
--- a/src/coordination/routing/PassPlacementSettings.h
+++ b/src/coordination/routing/PassPlacementSettings.h
@@ -9,7 +9,7 @@
 struct PassPlacementSettings
 {
     // A request whose prefill takes at most this long is brief and shares an engine with others.
-    // Once callers have stated the pauses that they accept, the limit is briefPauseShare of the
+    // Once callers have stated the pauses that they tolerate, the limit is briefPauseShare of the
     // tightest one: longer prefill would exceed the pauses of requests that decode beside it.
     double maxBriefPrefillSeconds = 0.1;
     double briefPauseShare = 0.6;
@@ -61,7 +61,7 @@
     // A long prompt is refused when it would wait for its start longer than this share of the
     // requested time to the first token.
     double maxWaitingShare = 0.6;
-    // Tightest pause that callers of the model accept; a default until they state one. A pause is
+    // Tightest pause that callers of the model tolerate; a default until they state one. A pause is
     // tight if it is below tightPauseFactor times this value.
     double tightestPauseSeconds = 0.2;
     double tightPauseFactor = 1.5;
@@ -82,7 +82,7 @@
     {
         return pauseSeconds < this->tightPauseFactor * this->tightestPauseSeconds;
     }
-    // Returns the settings adapted to the tightest pause that callers of the model accept.
+    // Returns the settings adapted to the tightest pause that callers of the model tolerate.
     PassPlacementSettings withTightestPause(double seconds) const
     {
         PassPlacementSettings adapted = *this;
--- a/src/coordination/routing/PolicySettings.h
+++ b/src/coordination/routing/PolicySettings.h
@@ -46,8 +46,8 @@
     std::uint32_t prefixIndexBlocks = 8'192; // blocks remembered per engine at most
     double prefillSlowsDecode = 3.4;         // decode step time with prefill in the batch / without
     std::uint32_t engineStepTokens = 1'024;  // prefill tokens per engine step
-    state::Duration reportSlack =
-            std::chrono::milliseconds(500); // done work a report may still count
+    // Done work a report may still count.
+    state::Duration reportSlack = std::chrono::milliseconds(500);
 
     // Scheduling order.
     bool priorities = true; // engines serve short prompts first, with ageing by response ratio
--- a/src/program/ControlMember.h
+++ b/src/program/ControlMember.h
@@ -146,8 +146,8 @@
     ControlMemberHooks hooks;
 
     std::mutex pendingProposalsMutex;
-    std::vector<PendingProposal>
-            pendingProposals; // proposed as one batch, with one write and one send
+    // Proposed as one batch, with one write and one send.
+    std::vector<PendingProposal> pendingProposals;
 
     // Read by any thread.
     state::Snapshot<ControlMemberStatus> published;
--- a/src/program/DispatcherScheduler.cpp
+++ b/src/program/DispatcherScheduler.cpp
@@ -57,8 +57,8 @@
         std::optional<PlacementResult> ready;   // arrived while the relay was not waiting
         std::optional<Placement> lastPlacement; // the last placement that the relay was given
         std::function<void()> interrupt;        // the relay's; see ScheduledRequest
-        std::function<void(bool)>
-                abandonWaiter; // the relay's callback while it waits in mayAbandon()
+        // The relay's callback while it waits in mayAbandon().
+        std::function<void(bool)> abandonWaiter;
     };
 
     State(asio::io_context &context, const Settings &settings,
--- a/src/program/DispatcherScheduler.h
+++ b/src/program/DispatcherScheduler.h
@@ -26,8 +26,8 @@
         // Send to the entries that route to the same engines; may be empty for a single node.
         std::function<void(const coordination::routing::WorkNote &)> shareWork;
         std::function<void(const coordination::admission::BacklogNote &)> shareBacklog;
-        MemoryReservationCodec
-                memory; // requests that reserve memory on engines with a declared profile
+        // Requests that reserve memory on engines with a declared profile.
+        MemoryReservationCodec memory;
     };
 
     static std::shared_ptr<DispatcherScheduler>
--- a/src/program/MembershipService.h
+++ b/src/program/MembershipService.h
@@ -57,8 +57,8 @@
     struct Hooks
     {
         std::function<void(const MembershipView &)> changed; // after a view was published
-        std::function<void(const state::LoadReport &)>
-                loadArrived; // of endpoints announced elsewhere
+        // Of endpoints announced elsewhere.
+        std::function<void(const state::LoadReport &)> loadArrived;
         std::function<void(const coordination::membership::EndOfWorkReport &)> endOfWorkReported;
         std::function<void(const LeaveOutcome &)> leaveAcknowledged;
         std::function<void()> superseded; // the process must stop; called once
--- a/src/program/RouteRelay.cpp
+++ b/src/program/RouteRelay.cpp
@@ -683,8 +683,8 @@
     CallState facts;
     RelayOutcome outcome;
     coordination::relay::EventSplitter events;
-    std::optional<protocol::HttpResponse>
-            endpointAnswer; // the last error that an endpoint answered
+    // The last error that an endpoint answered.
+    std::optional<protocol::HttpResponse> endpointAnswer;
     std::shared_ptr<RunningAttempt> running = std::make_shared<RunningAttempt>();
     std::shared_ptr<InactivityTimeout>
             inactivityTimeout;    // of the running attempt, if it may be abandoned
--- a/src/state/TableRow.h
+++ b/src/state/TableRow.h
@@ -36,8 +36,8 @@
     std::uint64_t tokensPerSecondLimit = 0; // prompt and output tokens a second over all entries
     std::uint32_t deadlineMilliseconds = 60'000; // for requests without a deadline; 1 to 86 400 000
     std::uint8_t priority = 5;                   // 0 (highest) to 9 (lowest)
-    std::uint64_t version =
-            0; // log index of the edit that created the row; 0 only before it is stored
+    // Log index of the edit that created the row; 0 only before it is stored.
+    std::uint64_t version = 0;
 
     auto operator<=>(const TableRow &) const = default;
 
--- a/src/state/control/ControlState.h
+++ b/src/state/control/ControlState.h
@@ -83,8 +83,8 @@
     std::size_t accounts = 50'000;
     std::size_t requestsRemembered = 10'000; // five days of changes at the planned size
     std::size_t changesRemembered = 10'000;
-    std::size_t feedChanges =
-            50'000; // kept for entries that are behind; an entry further behind gets a whole view
+    // Kept for entries that are behind; an entry further behind gets a whole view.
+    std::size_t feedChanges = 50'000;
 };
 
 class ControlState
--- a/src/state/routes/EngineProfile.h
+++ b/src/state/routes/EngineProfile.h
@@ -17,8 +17,8 @@
     std::uint32_t stepsPerPass = 1;     // steps in a pass with decoding requests; tokens per event
     double stepMs = 0;                  // base time of one step, without the terms below
     double stepMsPerSequence = 0;       // added for each decoding request
-    double stepMsPerThousandContextTokens =
-            0; // added for each 1,000 context tokens of decoding requests
+    // Added for each 1,000 context tokens of decoding requests.
+    double stepMsPerThousandContextTokens = 0;
     double prefillTokensPerSecond = 0;
     double msPerMillionPairs = 0; // added for each million pairs of a token and an earlier one
     std::uint32_t stepTokens = 0; // maximum number of tokens prefilled in one step
--- a/tests/coordination/directory/DirectoryTest.cpp
+++ b/tests/coordination/directory/DirectoryTest.cpp
@@ -1,4 +1,4 @@
-// Which entry nodes callers are told to use, in what order, and how an entry node shuts down
+// Which entries callers are told to use, in what order, and how an entry shuts down
 // without aborting requests.
 #include "coordination/directory/Directory.h"
 #include "coordination/directory/EntryShutdown.h"
@@ -114,7 +114,7 @@
 
     void accountsAreAssignedToFewEntries()
     {
-        // An account's limit is divided among the entry nodes that serve it, so these must be few,
+        // An account's limit is divided among the entries that serve it, so these must be few,
         // stay the same over time, and not all be in one failure domain.
         const membership::MemberTable all = tableOf(18);
         std::set<std::string> first;
@@ -169,7 +169,7 @@
 
     void shutdownServesHoldersOfOldAnswers()
     {
-        // A caller gets its answer just before the entry node's shutdown becomes known, connects
+        // A caller gets its answer just before the entry's shutdown becomes known, connects
         // just before the answer expires, and its long request runs past that. It must be served to
         // the end.
         EntryShutdown shutdown(seconds(3), seconds(10));
--- a/tests/coordination/endpoints/EndpointLifecycleTest.cpp
+++ b/tests/coordination/endpoints/EndpointLifecycleTest.cpp
@@ -1,4 +1,4 @@
-// Fault scenarios of the endpoint lifecycle on three entry nodes that receive each other's records
+// Fault scenarios of the endpoint lifecycle on three entries that receive each other's records
 // at once.
 #include "coordination/endpoints/EndpointLifecycle.h"
 
@@ -13,7 +13,7 @@
 
 const state::EndpointId engine("engine-1");
 
-// Three entry nodes; published records reach all of them within one step of a second.
+// Three entries; published records reach all of them within one step of a second.
 struct TestCluster
 {
     TestCluster()
@@ -145,7 +145,7 @@
 
     void deregistrationIsFinalForTheIncarnation()
     {
-        // The endpoint deregisters at one entry node while its last renewal is still in transit to
+        // The endpoint deregisters at one entry while its last renewal is still in transit to
         // another. The late renewal must not reactivate it.
         TestCluster cluster;
         cluster.announce(0, 3);
@@ -164,7 +164,7 @@
     void deregistrationWinsOverConcurrentRenewals()
     {
         // Guards against callers being sent to an endpoint seconds after it deregistered. The
-        // responses to the endpoint are lost, so it announces itself to several entry nodes: one
+        // responses to the endpoint are lost, so it announces itself to several entries: one
         // receives the deregistration and publishes it as version 2, another takes the endpoint
         // over meanwhile and publishes versions 2 and 3 with phase Live. The later version must not
         // undo the deregistration, in any order of arrival, nor when the deregistration was made on
@@ -190,7 +190,7 @@
     void restartUnderTheSameIdReplacesTheIncarnation()
     {
         // A crashed engine restarts under its id and address while a renewal of its former
-        // incarnation still arrives at another entry node; the old incarnation must not win.
+        // incarnation still arrives at another entry; the old incarnation must not win.
         TestCluster cluster;
         cluster.announce(0, 1);
         cluster.announce(1, 1);
@@ -241,7 +241,7 @@
 
     void concurrentHomesConvergeToOne()
     {
-        // Two entry nodes receive all renewals, and each would become the home. They must not take
+        // Two entries receive all renewals, and each would become the home. They must not take
         // the role from each other forever, and the endpoint must stay usable throughout.
         TestCluster cluster;
         for (int renewal = 0; renewal < 30; ++renewal) {
@@ -256,7 +256,7 @@
 
     void homeDiesAndTheEndpointMovesOrExpires()
     {
-        // The entry node that received the renewals dies. An endpoint that finds another entry node
+        // The entry that received the renewals dies. An endpoint that finds another entry
         // stays usable; one that died at the same time is expired by its owner, once, after it had
         // time to move.
         for (const bool moves : {true, false}) {
@@ -279,7 +279,7 @@
 
     void homeRestartsWithoutItsRenewals()
     {
-        // The home entry node crashes and restarts at once under its id, without its record of
+        // The home entry crashes and restarts at once under its id, without its record of
         // renewals. The endpoint, which died meanwhile, must not stay listed forever.
         TestCluster cluster;
         cluster.announce(0, 1);
@@ -325,7 +325,7 @@
     {
         EndpointRecord known{engine, 2, 3, 3, EndpointPhase::Live, state::VmId("a")};
         known.description = std::make_shared<const state::EndpointDescription>();
-        // A short form made on a description that this entry node never received.
+        // A short form made on a description that this entry never received.
         EndpointRecord shortForm = known;
         shortForm.description = nullptr;
         ++shortForm.version;
--- a/tests/coordination/endpoints/EndpointTableTest.cpp
+++ b/tests/coordination/endpoints/EndpointTableTest.cpp
@@ -40,7 +40,7 @@
     {
         // Guards against requests sent to a terminating engine: an engine is announced to one node
         // and leaves after 3 s. Its deregistration overtakes its announcement on the way to an
-        // entry node, and the announcement, which arrives 2.4 s later, puts the engine into use
+        // entry, and the announcement, which arrives 2.4 s later, puts the engine into use
         // there.
         EndpointTable table;
         // A change, so that the deregistration is passed on.
--- a/tests/coordination/endpoints/MemoryAuditTest.cpp
+++ b/tests/coordination/endpoints/MemoryAuditTest.cpp
@@ -93,7 +93,7 @@
 public:
     void orphanedMemoryIsFreedInTime()
     {
-        // An entry node takes engine memory and dies, restarts, stalls or is only unknown to this
+        // An entry takes engine memory and dies, restarts, stalls or is only unknown to this
         // owner. Memory that is never freed permanently reduces the engine's capacity; memory freed
         // too early breaks a running request. Each case says what happened and whether the memory
         // is freed in time.
@@ -206,8 +206,8 @@
 
     void adoptionKeepsAStreamUnlessItIsTooLate()
     {
-        // The entry node of a stream dies; its caller resumes at another one, which adopts the
-        // stream. All entry nodes are queried before the stream is freed; once the free is ordered,
+        // The entry of a stream dies; its caller resumes at another one, which adopts the
+        // stream. All entries are queried before the stream is freed; once the free is ordered,
         // an adoption is refused.
         const std::string lease = AuditHarness::name("a", 1);
         AuditHarness harness;
--- a/tests/coordination/ownership/OwnerRingTest.cpp
+++ b/tests/coordination/ownership/OwnerRingTest.cpp
@@ -1,4 +1,4 @@
-// Owners are the same on every entry node, move only where needed, and stay on the endpoint's side
+// Owners are the same on every entry, move only where needed, and stay on the endpoint's side
 // of a network partition.
 #include "coordination/ownership/OwnerRing.h"
 #include "coordination/ownership/OwnedEndpoints.h"
@@ -136,7 +136,7 @@
 
     void everyHomeHasEquallyManyWatchers()
     {
-        // A replica that no entry node watches would get less work than its capacity, and an entry
+        // A replica that no entry watches would get less work than its capacity, and an entry
         // node that watches few replicas would concentrate its work on them.
         struct Case
         {
